--- a/crates/core/src/awaits.rs
+++ b/crates/core/src/awaits.rs
@@ -32,14 +32,14 @@
     /// Takes note of what a job awaits. One that has begun has nothing to wait for.
     pub fn link(&mut self, env: &mut Env, name: &Name) {
         let Some(job) = self.jobs.get_mut(name) else { return };
-        let begun = !job.places.is_empty() || job.done_count > 0;
+        let begun = !job.placements.is_empty() || job.done_count > 0;
         if job.cancelled || begun || job.spec.awaits.is_empty() {
             return;
         }
-        job.from_ms = env.now.wall_ms;
+        job.eligible_ms = env.now.wall_ms;
         let awaits: BTreeSet<Name> = job.spec.awaits.iter().map(|id| Name::from(id.as_str())).collect();
-        job.pending = awaits.clone();
-        let (priority, due_ms) = (job.priority, job.due_ms);
+        job.pending_dependencies = awaits.clone();
+        let (priority, due_ms) = (job.effective_priority, job.effective_deadline_ms);
         let mut lost = false;
         for dep in &awaits {
             self.awaited.dependents.entry(dep.clone()).or_default().insert(name.clone());
@@ -61,13 +61,13 @@
         let mut left: Vec<Name> = awaits.into_iter().collect();
         while let Some(name) = left.pop() {
             let Some(job) = self.jobs.get_mut(&name) else { continue };
-            let sooner = earlier(job.due_ms, due_ms) != job.due_ms;
-            if job.priority >= priority && !sooner {
+            let sooner = earlier(job.effective_deadline_ms, due_ms) != job.effective_deadline_ms;
+            if job.effective_priority >= priority && !sooner {
                 continue;
             }
-            job.priority = job.priority.max(priority);
-            job.due_ms = earlier(job.due_ms, due_ms);
-            left.extend(job.pending.iter().cloned());
+            job.effective_priority = job.effective_priority.max(priority);
+            job.effective_deadline_ms = earlier(job.effective_deadline_ms, due_ms);
+            left.extend(job.pending_dependencies.iter().cloned());
         }
     }
 
@@ -76,18 +76,18 @@
         let mut left: Vec<Name> = awaits.into_iter().collect();
         while let Some(name) = left.pop() {
             let Some(job) = self.jobs.get(&name).filter(|job| !job.cancelled) else { continue };
-            let (mut priority, mut due_ms) = (job.spec.priority, job.own_due_ms());
+            let (mut priority, mut due_ms) = (job.spec.priority, job.own_deadline_ms());
             let dependents = self.awaited.dependents.get(&name).into_iter().flatten();
             for dependent in dependents.filter_map(|id| self.jobs.get(id)).filter(|job| !job.cancelled) {
-                priority = priority.max(dependent.priority);
-                due_ms = earlier(due_ms, dependent.due_ms);
+                priority = priority.max(dependent.effective_priority);
+                due_ms = earlier(due_ms, dependent.effective_deadline_ms);
             }
-            if (priority, due_ms) == (job.priority, job.due_ms) {
+            if (priority, due_ms) == (job.effective_priority, job.effective_deadline_ms) {
                 continue;
             }
-            left.extend(job.pending.iter().cloned());
+            left.extend(job.pending_dependencies.iter().cloned());
             if let Some(job) = self.jobs.get_mut(&name) {
-                (job.priority, job.due_ms) = (priority, due_ms);
+                (job.effective_priority, job.effective_deadline_ms) = (priority, due_ms);
             }
         }
     }
@@ -103,10 +103,10 @@
         }
         for name in dependents {
             let Some(job) = self.jobs.get_mut(&name) else { continue };
-            job.pending.remove(dep);
+            job.pending_dependencies.remove(dep);
             if !job.is_blocked() {
                 tracing::debug!(job = &*name, "all that it awaits is done");
-                job.from_ms = env.now.wall_ms;
+                job.eligible_ms = env.now.wall_ms;
                 self.place_due = true;
             }
         }
@@ -121,7 +121,7 @@
             };
             tracing::debug!(job = &*name, "a job that it needs was cancelled");
             job.orphaned = true;
-            needed.extend(job.pending.iter().cloned());
+            needed.extend(job.pending_dependencies.iter().cloned());
             self.stop_cancelled(env, &name);
             left.extend(self.awaited.dependents.remove(&name).into_iter().flatten());
         }
@@ -132,7 +132,7 @@
     /// all that needs it.
     pub fn job_cancelled(&mut self, env: &mut Env, name: &Name) {
         self.stop_cancelled(env, name);
-        let needed = self.jobs.get(name).map(|job| job.pending.clone()).unwrap_or_default();
+        let needed = self.jobs.get(name).map(|job| job.pending_dependencies.clone()).unwrap_or_default();
         self.lower(needed);
         self.dependency_over(env, name, RecordState::Cancelled);
     }
--- a/crates/core/src/failover.rs
+++ b/crates/core/src/failover.rs
@@ -130,7 +130,7 @@
     pub fn tier_of(&self, job: &Job) -> usize {
         let Some(failover) = &self.failover else { return 0 };
         let guaranteed = self.guaranteed.contains(&job.id);
-        failover.settings().tier_of(&TierQuery { class: &job.spec.class, priority: job.priority, guaranteed })
+        failover.settings().tier_of(&TierQuery { class: &job.spec.class, priority: job.effective_priority, guaranteed })
     }
 
     /// What stopping a task of a job counts for beside the work that is lost, in CPU seconds: while a zone is
@@ -215,7 +215,7 @@
         let Some(failover) = self.failover.as_ref().filter(|f| f.state(&zone) != ZoneState::Healthy) else { return };
         let returning = failover.state(&zone) == ZoneState::Returning;
         let Some(job) = self.jobs.get_mut(&key.0).filter(|job| !job.cancelled) else { return };
-        if job.places.get(&key.1).is_none_or(|place| !place.sent) {
+        if job.placements.get(&key.1).is_none_or(|place| !place.start_sent) {
             return;
         }
         *job.zone_reruns.entry(key.1).or_default() += 1;
--- a/crates/core/src/fleet/orders.rs
+++ b/crates/core/src/fleet/orders.rs
@@ -92,9 +92,9 @@
         }
         let mut due_again = !machine.unexpected.is_empty() || !machine.exited.is_empty();
         for key in &machine.places {
-            let place = self.jobs.get_mut(&key.0).and_then(|job| job.places.get_mut(&key.1)).expect("placed");
-            due_again |= !place.stage.is_seen() || place.stop.is_some();
-            if place.stop.is_some() || place.stage.is_seen() || message.orders.len() >= MAX_ORDERS {
+            let place = self.jobs.get_mut(&key.0).and_then(|job| job.placements.get_mut(&key.1)).expect("placed");
+            due_again |= !place.stage.is_reported() || place.stop.is_some();
+            if place.stop.is_some() || place.stage.is_reported() || message.orders.len() >= MAX_ORDERS {
                 continue;
             }
             let task = format!("{}/{}", key.0, key.1);
@@ -176,13 +176,13 @@
 }
 
 /// The start of a task that its machine has not shown yet, if it is to be sent now.
-fn start_for(via: Via, task: String, place: &mut Place, on_its_way: bool) -> Option<Order> {
+fn start_for(via: Via, task: String, place: &mut Placement, on_its_way: bool) -> Option<Order> {
     if matches!(place.stage, Stage::Planned | Stage::Inherited) {
         return None;
     }
-    let due = !place.sent || (via == Via::Report && !on_its_way);
+    let due = !place.start_sent || (via == Via::Report && !on_its_way);
     due.then(|| {
-        place.sent = true;
+        place.start_sent = true;
         Order::Start { task, attempt: place.attempt }
     })
 }
--- a/crates/core/src/fleet/reports.rs
+++ b/crates/core/src/fleet/reports.rs
@@ -237,7 +237,7 @@
     }
 
     fn is_placed(&self, key: &TaskKey, machine: &Name, attempt: u64) -> bool {
-        let place = self.jobs.get(&key.0).and_then(|job| job.places.get(&key.1));
+        let place = self.jobs.get(&key.0).and_then(|job| job.placements.get(&key.1));
         place.is_some_and(|place| place.machine == *machine && place.attempt == attempt)
     }
 
@@ -246,7 +246,7 @@
     fn tasks_missing(&mut self, env: &mut Env, name: &Name, missing: Vec<TaskKey>) {
         let now = env.steady();
         for key in missing {
-            let place = &self.jobs[&key.0].places[&key.1];
+            let place = &self.jobs[&key.0].placements[&key.1];
             let late = self.machines[name].unresolved.contains(&(format!("{}/{}", key.0, key.1), place.attempt));
             if !matches!(place.stage, Stage::Planned | Stage::Ordered) && !late {
                 tracing::debug!(job = &*key.0, task = key.1, machine = &**name, "not there");
@@ -265,7 +265,7 @@
         machine.images.clear();
         tracing::info!(machine = &**name, session = machine.session, tasks = machine.places.len(), "new session");
         for key in machine.places.clone() {
-            if self.jobs[&key.0].places[&key.1].sent {
+            if self.jobs[&key.0].placements[&key.1].start_sent {
                 self.displaced(&key, name);
                 self.place_empty(env, &key, now);
             }
--- a/crates/core/src/fleet/stop_account.rs
+++ b/crates/core/src/fleet/stop_account.rs
@@ -120,7 +120,7 @@
 
     /// What of the cancelled jobs still has places.
     pub fn awaited_stops(&self, now: Instant) -> AwaitedStops {
-        let places = |job: &Name| self.jobs.get(job).map_or(0, |job| job.places.len());
+        let places = |job: &Name| self.jobs.get(job).map_or(0, |job| job.placements.len());
         AwaitedStops {
             jobs: self.stops.open.len(),
             tasks: self.stops.open.keys().map(places).sum(),
--- a/crates/core/src/fleet/stops.rs
+++ b/crates/core/src/fleet/stops.rs
@@ -10,7 +10,7 @@
 
 use super::{Attempt, Machine, Via};
 use crate::env::Env;
-use crate::jobs::{Name, Place, Stage, StopRequest, TaskKey};
+use crate::jobs::{Name, Placement, Stage, StopRequest, TaskKey};
 use crate::term::Term;
 
 /// Bytes of the stops in one message; workers take lines of up to 64 KiB.
@@ -65,7 +65,7 @@
         let mut message = MachineOrders::stopping(unexpected.map(|(attempt, _)| attempt));
         if machine.fenced.is_some() && machine.orders_due {
             for key in &machine.places {
-                let place = self.jobs.get_mut(&key.0).and_then(|job| job.places.get_mut(&key.1)).expect("placed");
+                let place = self.jobs.get_mut(&key.0).and_then(|job| job.placements.get_mut(&key.1)).expect("placed");
                 if place.stop.is_some() {
                     stop_place(now, via, key, place, &mut message);
                 }
@@ -97,20 +97,20 @@
     /// Whether the machine was seen to run what must end at once.
     pub(super) fn must_stop(&self, machine: &Machine) -> bool {
         let must_end = |(job, task): &TaskKey| {
-            let place = self.jobs.get(job).and_then(|job| job.places.get(task));
-            place.is_some_and(|place| place.stage.is_seen() && place.stop.is_some_and(|stop| stop.is_immediate()))
+            let place = self.jobs.get(job).and_then(|job| job.placements.get(task));
+            place.is_some_and(|place| place.stage.is_reported() && place.stop.is_some_and(|stop| stop.is_immediate()))
         };
         machine.unexpected.iter().any(|(_, exited)| !exited) || machine.places.iter().any(must_end)
     }
 }
 
 /// Adds what the machine of a task that must leave should be told of it now.
-fn stop_place(now: Instant, via: Via, key: &TaskKey, place: &mut Place, message: &mut MachineOrders) {
+fn stop_place(now: Instant, via: Via, key: &TaskKey, place: &mut Placement, message: &mut MachineOrders) {
     let Some(stop) = place.stop.as_mut().filter(|_| !matches!(place.stage, Stage::Planned | Stage::Inherited)) else {
         return;
     };
     let (task, attempt) = (format!("{}/{}", key.0, key.1), place.attempt);
-    let sent = if !place.stage.is_seen() {
+    let sent = if !place.stage.is_reported() {
         // The start may have been lost or be late: started and stopped at once,
         // the entry that remains keeps a late copy from running.
         let start = Order::Start { task: task.clone(), attempt };
@@ -120,13 +120,13 @@
         due && message.add([Order::Stop { task, attempt, grace_s: stop.grace_s }])
     };
     if sent {
-        stop.sent = Some(now);
+        stop.last_sent = Some(now);
     }
 }
 
 /// An immediate stop goes with every message until its effect is seen, since it can be repeated freely. One that
 /// saves is told again only if it must not.
 fn is_due(now: Instant, stop: &StopRequest, stage: Stage) -> bool {
-    let told_lately = stop.sent.is_some_and(|sent| now.duration_since(sent) <= REPEAT_GRACEFUL_STOP);
-    stop.is_immediate() || stop.sent.is_none() || stage != Stage::Saving && !told_lately
+    let told_lately = stop.last_sent.is_some_and(|sent| now.duration_since(sent) <= REPEAT_GRACEFUL_STOP);
+    stop.is_immediate() || stop.last_sent.is_none() || stage != Stage::Saving && !told_lately
 }
--- a/crates/core/src/fleet/tasks.rs
+++ b/crates/core/src/fleet/tasks.rs
@@ -13,17 +13,17 @@
     pub(super) fn task_seen(&mut self, env: &mut Env, key: &TaskKey, report: &TaskReport) {
         let now = env.steady();
         let job = self.jobs.get_mut(&key.0).expect("placed");
-        let place = job.places.get_mut(&key.1).expect("placed");
+        let place = job.placements.get_mut(&key.1).expect("placed");
         let before = place.stage;
-        let began = report.state == TaskState::Running && place.running.is_none();
+        let began = report.state == TaskState::Running && place.running_since.is_none();
         match report.state {
             TaskState::Fetching => place.stage = Stage::Fetching,
             TaskState::Saving => place.stage = Stage::Saving,
             TaskState::Running => {
                 place.stage = Stage::Running;
-                if place.running.is_none() {
-                    place.running = Some(now);
-                    job.running += 1;
+                if place.running_since.is_none() {
+                    place.running_since = Some(now);
+                    job.running_tasks += 1;
                     let machine = self.machines.get_mut(&place.machine).expect("placed");
                     machine.images.used(&job.spec.image, job.spec.image_gb);
                 }
@@ -34,14 +34,14 @@
             }
         }
         if before != place.stage {
-            if place.stop.is_some_and(|stop| stop.sent.is_none()) {
+            if place.stop.is_some_and(|stop| stop.last_sent.is_none()) {
                 let machine = place.machine.clone();
                 self.call_soon(&machine);
             }
             self.note_progress(&key.0);
-            self.move_seen(now, key, report.state);
+            self.note_move_progress(now, key, report.state);
             if began {
-                let machine = self.jobs[&key.0].places[&key.1].machine.clone();
+                let machine = self.jobs[&key.0].placements[&key.1].machine.clone();
                 self.runs_in_zone(&machine);
             }
         }
@@ -50,15 +50,15 @@
     fn task_exited(&mut self, env: &mut Env, key: &TaskKey, why: Cause) {
         let now = env.steady();
         let job = self.jobs.get_mut(&key.0).expect("placed");
-        let place = job.places[&key.1].clone();
+        let place = job.placements[&key.1].clone();
         let mut again = now;
         match why {
             Cause::Done => {
-                job.set_done(key.1);
-                if let Some(since) = place.running {
+                job.mark_done(key.1);
+                if let Some(since) = place.running_since {
                     let run_s = now.duration_since(since).as_secs_f64();
-                    job.learn_run(run_s);
-                    self.speculation.finished(&key.0, &place.machine, run_s);
+                    job.record_run(run_s);
+                    self.speculation.record_run(&key.0, &place.machine, run_s);
                 }
                 self.succeeded(&key.0, &place);
             }
@@ -78,9 +78,9 @@
         self.after_change(&key.0);
     }
 
-    fn succeeded(&mut self, job: &Name, place: &Place) {
+    fn succeeded(&mut self, job: &Name, place: &Placement) {
         let machine = self.machines.get_mut(&place.machine).expect("placed");
-        machine.strikes.retain(|_, at| place.placed < *at);
+        machine.strikes.retain(|_, at| place.placed_at < *at);
         // A job that works elsewhere clears itself of the failures it had.
         let failed_on = self.jobs[job].failed_on.clone();
         for name in failed_on.iter().filter(|name| **name != place.machine) {
@@ -92,16 +92,17 @@
 
     /// A task failed. Tells machines that fail every task apart from jobs that fail
     /// everywhere; returns when the task may be tried again.
-    fn failed(&mut self, now: Instant, key: &TaskKey, place: &Place) -> Instant {
+    fn failed(&mut self, now: Instant, key: &TaskKey, place: &Placement) -> Instant {
         let job = self.jobs.get_mut(&key.0).expect("placed");
         job.failed_on.insert(place.machine.clone());
-        job.failures += 1;
+        job.consecutive_failures += 1;
         let works = job.done_count > 0
-            || job.places.values().any(|p| {
-                p.machine != place.machine && p.running.is_some_and(|t| now.duration_since(t) > Duration::from_secs(5))
+            || job.placements.values().any(|p| {
+                p.machine != place.machine
+                    && p.running_since.is_some_and(|t| now.duration_since(t) > Duration::from_secs(5))
             });
-        let bad_job = !works && job.failed_on.len() >= FAILS_EVERYWHERE;
-        let failures = job.failures;
+        let bad_job = !works && job.failed_on.len() >= FAULTY_JOB_MACHINES;
+        let failures = job.consecutive_failures;
         let machine = self.machines.get_mut(&place.machine).expect("placed");
         if !bad_job {
             machine.strikes.insert(key.0.clone(), now);
@@ -133,22 +134,22 @@
         let Some(job) = self.jobs.get_mut(&key.0) else {
             return;
         };
-        let Some(place) = job.places.remove(&key.1) else {
+        let Some(place) = job.placements.remove(&key.1) else {
             return;
         };
-        if place.running.is_some() {
-            job.running -= 1;
+        if place.running_since.is_some() {
+            job.running_tasks -= 1;
         }
         if job.cancelled {
             self.stops.task_ended();
         }
-        job.put_back(key.1, again);
+        job.requeue(key.1, again);
         self.quotas.sub(&job.spec);
         if let Some(machine) = self.machines.get_mut(&place.machine) {
             machine.release(key, &job.spec, now);
         }
         self.records.changed(key.clone(), None);
-        self.task_left(now, key, again > now);
+        self.note_placement_ended(now, key, again > now);
         self.place_due = true;
         self.note_progress(&key.0);
         self.after_change(&key.0);
@@ -156,10 +157,10 @@
 
     /// Orders a task to leave its machine. One that was never ordered just stays away.
     pub fn stop_task(&mut self, env: &mut Env, job: &Name, task: u32, grace: f64) {
-        let Some(place) = self.jobs.get_mut(job).and_then(|job| job.places.get_mut(&task)) else {
+        let Some(place) = self.jobs.get_mut(job).and_then(|job| job.placements.get_mut(&task)) else {
             return;
         };
-        if !place.sent {
+        if !place.start_sent {
             let now = env.steady();
             self.place_empty(env, &(job.clone(), task), now);
             return;
@@ -193,13 +194,13 @@
                 continue;
             };
             let spec = &owner.spec;
-            let place = &owner.places[&task];
-            let ran = place.running.map_or(0.0, |t| now.duration_since(t).as_secs_f64());
+            let place = &owner.placements[&task];
+            let ran = place.running_since.map_or(0.0, |t| now.duration_since(t).as_secs_f64());
             let finishes = spec.kind == Kind::Array
-                && place.running.is_some()
+                && place.running_since.is_some()
                 && (owner.mean_run_s - ran).max(0.0) + 1.0 < left.as_secs_f64();
             if !finishes && place.stop.is_none() {
-                let saves = spec.checkpoint_s > 0.0 && place.running.is_some();
+                let saves = spec.checkpoint_s > 0.0 && place.running_since.is_some();
                 let grace = if saves { spec.save_s } else { 0.0 };
                 self.stop_task(env, &job, task, grace);
             }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -17,12 +17,12 @@
 mod place;
 mod preempt;
 mod quota;
+mod rebalance;
 mod records;
 mod recover;
 mod relay;
 mod rent;
 pub mod speculate;
-mod spread;
 mod term;
 mod users;
 
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -32,7 +32,7 @@
         let progress = self.term.as_mut().map(Term::take_progress).unwrap_or_default();
         let token = self.token();
         let full = self.term.as_ref().is_some_and(|term| {
-            let bytes: usize = term.jobs.values().map(Job::bytes).sum();
+            let bytes: usize = term.jobs.values().map(Job::memory_bytes).sum();
             term.jobs.len() >= self.env.policy.max_jobs || bytes >= self.env.facts.job_bytes
         });
         if token.is_some() {
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -41,7 +41,7 @@
 }
 
 /// Whether a job's tasks may run on a machine like this.
-pub(crate) fn allowed(spec: &JobSpec, machine: &Machine) -> bool {
+pub(crate) fn meets_constraints(spec: &JobSpec, machine: &Machine) -> bool {
     (!machine.spot || spec.spot)
         && spec.types.as_ref().is_none_or(|types| types.contains(&machine.kind))
         && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
@@ -103,11 +103,11 @@
         if job.spec.priority == Priority::Production {
             return f64::INFINITY;
         }
-        self.ordinary_left(env.steady()) - self.renting.service_reserve(env)
+        self.free_on_demand_cpus(env.steady()) - self.renting.service_reserve(env)
     }
 
     /// CPUs that are free on ordinary machines.
-    pub fn ordinary_left(&self, now: Instant) -> f64 {
+    pub fn free_on_demand_cpus(&self, now: Instant) -> f64 {
         let ordinary = self.machines.values().filter(|m| !m.spot && m.usable(now));
         ordinary.map(|m| m.total.cpus - m.used.cpus).sum()
     }
@@ -117,11 +117,15 @@
         let name = round.job;
         let job = &self.jobs[name];
         let need = Room::of(&job.spec);
-        let Some(task) = job.peek(now) else { return false };
+        let Some(task) = job.next_ready_task(now) else { return false };
         let target = &self.machines[machine];
         let reserved = !target.spot && *reserve < need.cpus;
         let admitted = self.zone_admits(target, need);
-        if reserved || !admitted || self.is_limited(&job.spec.team, need) || !self.room_for(target, name).holds(need) {
+        if reserved
+            || !admitted
+            || self.is_at_team_limit(&job.spec.team, need)
+            || !self.available_resources(target, name).holds(need)
+        {
             return false;
         }
         let ordinary = !target.spot;
@@ -131,27 +135,27 @@
         if ordinary {
             *reserve -= need.cpus;
         }
-        self.plan(name, task, machine, now);
+        self.place_task(name, task, machine, now);
         true
     }
 
     /// Gives a waiting task a place; it is ordered once that is durable.
-    pub fn plan(&mut self, name: &Name, task: u32, machine: &Name, now: Instant) {
+    pub fn place_task(&mut self, name: &Name, task: u32, machine: &Name, now: Instant) {
         let attempt = self.attempt();
         let job = self.jobs.get_mut(name).expect("chosen");
-        job.take(task);
-        job.served = Some(now);
-        job.slice = job.slice.saturating_sub(1);
-        let place = Place {
+        job.dequeue(task);
+        job.last_placed = Some(now);
+        job.starvation_credit = job.starvation_credit.saturating_sub(1);
+        let place = Placement {
             machine: machine.clone(),
             attempt,
             stage: Stage::Planned,
-            placed: now,
-            running: None,
+            placed_at: now,
+            running_since: None,
             stop: None,
-            sent: false,
+            start_sent: false,
         };
-        job.places.insert(task, place);
+        job.placements.insert(task, place);
         self.quotas.add(&job.spec);
         let target = self.machines.get_mut(machine).expect("chosen");
         target.hold((name.clone(), task), &job.spec);
@@ -164,20 +168,20 @@
             }
         }
         tracing::debug!(job = &**name, task, machine = &**machine, attempt, "placed");
-        self.task_placed(now, &(name.clone(), task), machine);
+        self.note_placement_started(now, &(name.clone(), task), machine);
         self.placed_in_zone(now, &(name.clone(), task), machine);
         let turn = crate::records::state::Turn::of(&self.jobs[name].spec);
         self.records.changed((name.clone(), task), Some(turn));
     }
 
     /// Zones where one more task of the job may go; `None` for all.
-    pub fn zones_for(&self, job: &Job) -> Option<BTreeSet<String>> {
+    pub fn eligible_zones(&self, job: &Job) -> Option<BTreeSet<String>> {
         if !job.spec.one_zone && !job.spec.spread {
             return None;
         }
         let mut counts: BTreeMap<String, u32> = self.zones.iter().map(|zone| (zone.clone(), 0)).collect();
         let mut unknown = 0;
-        for place in job.places.values() {
+        for place in job.placements.values() {
             match self.machines.get(&place.machine).and_then(|m| counts.get_mut(&m.zone)) {
                 Some(count) => *count += 1,
                 // A machine known from a record only may be in any zone.
@@ -195,7 +199,7 @@
             let need = Room::of(&job.spec);
             // A zone that takes no work is chosen only if there is no other.
             let room = |zone: &String| -> (bool, u32) {
-                let there = self.machines.values().filter(|m| m.zone == *zone && allowed(&job.spec, m));
+                let there = self.machines.values().filter(|m| m.zone == *zone && meets_constraints(&job.spec, m));
                 let room = there.map(|m| m.total.minus(m.used).times(need)).sum();
                 (!self.zone_is_closed(zone), room)
             };
@@ -208,14 +212,14 @@
     /// The machines that could take one more task of a job, the best first.
     fn rank(&self, env: &mut Env, job: &Job, need: Room) -> Vec<(f64, Name)> {
         let now = env.steady();
-        let zones = self.zones_for(job);
+        let zones = self.eligible_zones(job);
         let mut fitting: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|m| m.usable(now) && allowed(&job.spec, m))
+            .filter(|m| m.usable(now) && meets_constraints(&job.spec, m))
             .filter(|m| zones.as_ref().is_none_or(|zones| zones.contains(&m.zone)))
-            .filter(|m| self.room_for(m, &job.id).holds(need) && self.zone_admits(m, need))
-            .filter(|m| !job.shuns(&m.name))
+            .filter(|m| self.available_resources(m, &job.id).holds(need) && self.zone_admits(m, need))
+            .filter(|m| !job.avoids(&m.name))
             .collect();
         // With more machines than can be weighed for every task, a sample does; a larger one
         // for services, which are few and wait for nothing but their image.
@@ -245,7 +249,7 @@
         let doubt = if job.failed_on.contains(&machine.name) { 60.0 } else { 0.0 };
         let slow = if machine.straggler { 30.0 } else { 0.0 };
         let probation = self.probation_cost_s(env.steady(), job, machine);
-        self.fetch_s(env, job, machine) + crowding + hosting + mates + retiring + kind + doubt + slow + probation
+        self.image_fetch_s(env, job, machine) + crowding + hosting + mates + retiring + kind + doubt + slow + probation
     }
 
     /// What the use of a machine counts for, in seconds. With load spreading a run takes longer among
@@ -264,7 +268,7 @@
 
     /// How long the job's image takes to be on the machine. Images that are fetched at
     /// the same time may share the rate.
-    pub fn fetch_s(&self, env: &Env, job: &Job, machine: &Machine) -> f64 {
+    pub fn image_fetch_s(&self, env: &Env, job: &Job, machine: &Machine) -> f64 {
         if machine.images.holds(&job.spec.image) {
             return 0.0;
         }
@@ -273,7 +277,7 @@
         let mut fetched: BTreeSet<&str> = BTreeSet::new();
         for (name, task) in &machine.places {
             let Some(owner) = self.jobs.get(name) else { continue };
-            let waits = owner.places.get(task).is_some_and(|place| place.running.is_none());
+            let waits = owner.placements.get(task).is_some_and(|place| place.running_since.is_none());
             if waits && !machine.images.holds(&owner.spec.image) {
                 fetched.insert(&owner.spec.image);
             }
@@ -282,7 +286,7 @@
     }
 
     /// Room on a machine that nothing takes, and that no open move has booked.
-    pub fn free_room(&self, machine: &Machine) -> Room {
+    pub fn free_resources(&self, machine: &Machine) -> Room {
         let free = machine.total.minus(machine.used);
         match &self.balance {
             Some(balancer) => free.minus(balancer.load().booked(&machine.name)),
@@ -291,8 +295,8 @@
     }
 
     /// Free room on a machine for this job: room made for another is left alone.
-    pub fn room_for(&self, machine: &Machine, job: &Name) -> Room {
-        let mut room = self.free_room(machine);
+    pub fn available_resources(&self, machine: &Machine, job: &Name) -> Room {
+        let mut room = self.free_resources(machine);
         if let Some(claim) = &machine.claim
             && claim.job != *job
             && !self.passes_before(job, &claim.job)
@@ -304,4 +308,4 @@
 }
 
 /// How long room that was made by stopping others is kept for the job.
-pub(crate) const CLAIM_FOR: Duration = Duration::from_secs(12);
+pub(crate) const CLAIM_DURATION: Duration = Duration::from_secs(12);
--- a/crates/core/src/place/pass.rs
+++ b/crates/core/src/place/pass.rs
@@ -101,11 +101,11 @@
         return false;
     }
     let since = |ms: u64| env.now.wall_ms as f64 / 1000.0 - ms as f64 / 1000.0;
-    let end = since(job.from_ms) + job.mean_run_s;
+    let end = since(job.eligible_ms) + job.mean_run_s;
     let aims = env.facts.objectives.iter().filter(|o| o.kind == "finished");
     let aims = aims.filter(|o| o.class.as_ref() == Some(&job.spec.class)).filter_map(|o| o.within);
     let left = aims.map(|within| within.as_secs_f64() - end);
-    let left = left.chain(job.due_ms.map(|due| -since(due) - job.mean_run_s)).reduce(f64::max);
+    let left = left.chain(job.effective_deadline_ms.map(|due| -since(due) - job.mean_run_s)).reduce(f64::max);
     left.is_some_and(|left| left < 0.0)
 }
 
@@ -113,42 +113,42 @@
 /// more work than room the order of the queue alone would leave large jobs, and those too
 /// late for every aim, waiting for ever. `age` is the time since its submission.
 fn starves(env: &Env, job: &Job, age: Duration) -> bool {
-    let waited = match job.served {
+    let waited = match job.last_placed {
         Some(at) => env.steady().duration_since(at),
         None => age,
     };
     // The later slices come sooner, so that the last of its tasks starts in time too.
-    waited >= if job.rescued { env.policy.starved / 2 } else { env.policy.starved }
+    waited >= if job.was_starved { env.policy.starved / 2 } else { env.policy.starved }
 }
 
 impl Term {
     /// Gives each job that starves a slice of its tasks, to be placed before all but services.
     fn mark_starving(&mut self, env: &Env) {
-        for job in self.jobs.values_mut().filter(|job| job.slice == 0 && job.waiting() > 0) {
-            let age = Duration::from_millis(env.now.wall_ms.saturating_sub(job.from_ms));
+        for job in self.jobs.values_mut().filter(|job| job.starvation_credit == 0 && job.waiting_tasks() > 0) {
+            let age = Duration::from_millis(env.now.wall_ms.saturating_sub(job.eligible_ms));
             if starves(env, job, age) {
-                tracing::debug!(job = &*job.id, waiting = job.waiting(), "starves; served out of turn");
-                job.slice = job.spec.tasks.div_ceil(SLICES).min(job.waiting());
-                job.rescued = true;
+                tracing::debug!(job = &*job.id, waiting = job.waiting_tasks(), "starves; served out of turn");
+                job.starvation_credit = job.spec.tasks.div_ceil(SLICES).min(job.waiting_tasks());
+                job.was_starved = true;
             }
         }
     }
 
     /// The jobs within their team's guarantee.
-    pub fn within_guarantee(&self) -> BTreeSet<Name> {
+    pub fn jobs_within_guarantee(&self) -> BTreeSet<Name> {
         let mut jobs: Vec<&Job> = self.jobs.values().filter(|job| !job.cancelled && !job.is_blocked()).collect();
-        jobs.sort_by(|a, b| a.from_ms.cmp(&b.from_ms).then_with(|| a.id.cmp(&b.id)));
-        self.quotas.within(jobs.into_iter()).into_iter().collect()
+        jobs.sort_by(|a, b| a.eligible_ms.cmp(&b.eligible_ms).then_with(|| a.id.cmp(&b.id)));
+        self.quotas.jobs_within_guarantee(jobs.into_iter()).into_iter().collect()
     }
 
     /// Starts what can start. Places are planned here and ordered once they are durable.
     pub fn place_pass(&mut self, env: &mut Env) {
         let now = env.steady();
-        if self.jobs.values().all(|job| job.peek(now).is_none()) {
+        if self.jobs.values().all(|job| job.next_ready_task(now).is_none()) {
             return;
         }
         self.mark_starving(env);
-        let within = self.within_guarantee();
+        let within = self.jobs_within_guarantee();
         if self.failover.is_some() {
             self.guaranteed = Arc::new(within.clone());
         }
@@ -177,7 +177,7 @@
     /// The jobs with tasks that may start, in their order.
     fn turns(&self, env: &Env, within: &BTreeSet<Name>) -> Vec<Turn> {
         let now = env.steady();
-        let waiting = self.jobs.values().filter(|job| job.peek(now).is_some());
+        let waiting = self.jobs.values().filter(|job| job.next_ready_task(now).is_some());
         let mut turns: Vec<Turn> = waiting.map(|job| self.turn_of(env, job, within.contains(&job.id))).collect();
         turns.sort_by(Turn::order);
         turns
@@ -192,12 +192,12 @@
         Turn {
             job: job.id.clone(),
             tier: if self.evacuates() { self.tier_of(job) } else { 0 },
-            class: if job.slice > 0 { class.min(Class::Guaranteed) } else { class },
-            starved: job.slice > 0,
-            priority: job.priority,
-            over_share: class == Class::Beyond && self.over_fair_share(&job.spec.team),
+            class: if job.starvation_credit > 0 { class.min(Class::Guaranteed) } else { class },
+            starved: job.starvation_credit > 0,
+            priority: job.effective_priority,
+            over_share: class == Class::Beyond && self.exceeds_fair_share(&job.spec.team),
             hopeless: hopeless(env, job),
-            work: f64::from(job.waiting()) * job.spec.cpus * job.mean_run_s,
+            work: f64::from(job.waiting_tasks()) * job.spec.cpus * job.mean_run_s,
         }
     }
 
@@ -217,35 +217,35 @@
     fn serve(&mut self, env: &mut Env, pass: &mut Pass, turn: &Turn) {
         let spec = &self.jobs[&turn.job].spec;
         let need = Room::of(spec);
-        let limited = self.is_limited(&spec.team, need);
+        let limited = self.is_at_team_limit(&spec.team, need);
         if !limited && pass.most[usize::from(!spec.spot)].holds(need) {
-            let share = if turn.starved { pass.left.min(self.jobs[&turn.job].slice) } else { pass.left };
+            let share = if turn.starved { pass.left.min(self.jobs[&turn.job].starvation_credit) } else { pass.left };
             let borrows = turn.class == Class::Beyond && !turn.starved;
             pass.left -= self.place_job(env, &turn.job, share, borrows);
         }
         if turn.starved {
             self.keep_for_starved(env, pass, turn, limited);
-        } else if self.jobs[&turn.job].peek(env.steady()).is_some() {
+        } else if self.jobs[&turn.job].next_ready_task(env.steady()).is_some() {
             pass.misses += 1;
             self.make_way(env, pass, turn, need);
         }
     }
 
     /// Whether the team's limit lets no task of this size start.
-    pub fn is_limited(&self, team: &str, need: Room) -> bool {
+    pub fn is_at_team_limit(&self, team: &str, need: Room) -> bool {
         self.quotas.usage(team).is_none_or(|usage| usage.headroom(need) == 0)
     }
 
     /// What comes free is kept for a job that starves, or smaller tasks would take it all.
     fn keep_for_starved(&mut self, env: &mut Env, pass: &mut Pass, turn: &Turn, limited: bool) {
         let job = &self.jobs[&turn.job];
-        if job.slice == 0 {
+        if job.starvation_credit == 0 {
             return;
         }
         if limited {
             pass.held.insert(job.spec.team.clone(), Priority::Production);
         } else {
-            self.hold_room(env, &turn.job, (job.slice as usize).min(STARVED_MACHINES));
+            self.reserve_freed_resources(env, &turn.job, (job.starvation_credit as usize).min(STARVED_MACHINES));
         }
     }
 
@@ -257,7 +257,7 @@
         if at_limit {
             if !pass.held.contains_key(&job.spec.team) {
                 pass.held.insert(job.spec.team.clone(), turn.priority);
-                self.make_quota(env, &turn.job, &pass.within);
+                self.preempt_for_quota(env, &turn.job, &pass.within);
             }
             return;
         }
@@ -267,10 +267,10 @@
             Class::Beyond => return,
         };
         if !stops_others {
-            self.hold_room(env, &turn.job, usize::MAX);
+            self.reserve_freed_resources(env, &turn.job, usize::MAX);
         } else if pass.stops > 0 {
             pass.stops -= 1;
-            self.make_room(env, &turn.job, &pass.within);
+            self.preempt_for_job(env, &turn.job, &pass.within);
         }
     }
 
@@ -280,6 +280,6 @@
     fn patience_over(&self, env: &Env, job: &Job) -> bool {
         let allowed = env.facts.objectives.iter().find(|o| o.kind == "guarantee").and_then(|o| o.within);
         let patience = allowed.unwrap_or(DEFAULT_PATIENCE).mul_f64(env.policy.patience_share);
-        u128::from(env.now.wall_ms.saturating_sub(job.from_ms)) >= patience.as_millis()
+        u128::from(env.now.wall_ms.saturating_sub(job.eligible_ms)) >= patience.as_millis()
     }
 }
--- a/crates/core/src/preempt.rs
+++ b/crates/core/src/preempt.rs
@@ -10,7 +10,7 @@
 use crate::env::Env;
 use crate::fleet::{Claim, Machine};
 use crate::jobs::*;
-use crate::place::{CLAIM_FOR, allowed};
+use crate::place::{CLAIM_DURATION, meets_constraints};
 use crate::quota::Room;
 use crate::term::Term;
 
@@ -37,27 +37,29 @@
 /// CPU seconds of work lost if the task were stopped now, a little for the restart, and more
 /// if its job lacks no task so far: stopping one delays the job as a whole, while one that
 /// waits for others anyway loses little. So the stops fall on few jobs.
-fn lost_s(now: Instant, job: &Job, place: &Place) -> f64 {
-    let ran = place.running.map_or(0.0, |t| now.duration_since(t).as_secs_f64());
+fn lost_s(now: Instant, job: &Job, place: &Placement) -> f64 {
+    let ran = place.running_since.map_or(0.0, |t| now.duration_since(t).as_secs_f64());
     let lost = if job.spec.checkpoint_s > 0.0 { ran % job.spec.checkpoint_s } else { ran };
-    let whole = if job.waiting() == 0 { DELAY } else { 0.0 };
-    (lost + whole + 1.0) * job.spec.cpus + if job.rescued { RESCUED } else { 0.0 }
+    let whole = if job.waiting_tasks() == 0 { DELAY } else { 0.0 };
+    (lost + whole + 1.0) * job.spec.cpus + if job.was_starved { RESCUED } else { 0.0 }
 }
 
 /// Whether a job may stop another for its higher priority. One beyond its guarantee
 /// leaves those within theirs alone: they would only come back and go first.
 fn outranks(job: &Job, victim: &Job, within: &BTreeSet<Name>) -> bool {
     let entitled = job.spec.priority == Priority::Production || within.contains(&job.id);
-    victim.priority < job.priority && (entitled || !within.contains(&victim.id)) && !spared(job, victim)
+    victim.effective_priority < job.effective_priority
+        && (entitled || !within.contains(&victim.id))
+        && !spared(job, victim)
 }
 
 /// Whether a job's tasks were placed since it starved: what stops them again would undo it.
 fn spared(job: &Job, victim: &Job) -> bool {
-    victim.rescued && job.spec.priority != Priority::Production
+    victim.was_starved && job.spec.priority != Priority::Production
 }
 
 impl Term {
-    pub fn make_room(&mut self, env: &mut Env, name: &Name, within: &BTreeSet<Name>) {
+    pub fn preempt_for_job(&mut self, env: &mut Env, name: &Name, within: &BTreeSet<Name>) {
         let job = &self.jobs[name];
         let need = Room::of(&job.spec);
         let quota = self.quotas.usage(&job.spec.team).map_or(0, |u| u.headroom(need));
@@ -67,7 +69,7 @@
             .filter_map(|m| m.claim.as_ref().filter(|claim| claim.job == *name && claim.made))
             .map(|claim| claim.room.times(need))
             .sum();
-        let mut wanted = job.waiting().min(quota).saturating_sub(claimed);
+        let mut wanted = job.waiting_tasks().min(quota).saturating_sub(claimed);
         for _ in 0..PER_PASS {
             if wanted == 0 {
                 return;
@@ -89,7 +91,7 @@
                 let grace = if urgent || spec.checkpoint_s == 0.0 { 0.0 } else { spec.save_s };
                 self.stop_task(env, &victim, task, grace);
             }
-            let until = env.steady() + CLAIM_FOR;
+            let until = env.steady() + CLAIM_DURATION;
             let machine = self.machines.get_mut(&plan.machine).expect("planned");
             machine.claim = Some(Claim { job: name.clone(), room: plan.freed, until, made: true });
         }
@@ -98,15 +100,15 @@
     /// Keeps what comes free for a job within its guarantee while its patience lasts, one
     /// task's room a machine: smaller tasks would take every CPU as it comes free, and
     /// more of them would have to be stopped in the end.
-    pub fn hold_room(&mut self, env: &Env, name: &Name, most: usize) {
+    pub fn reserve_freed_resources(&mut self, env: &Env, name: &Name, most: usize) {
         let now = env.steady();
         let job = &self.jobs[name];
         let need = Room::of(&job.spec);
-        let zones = self.zones_for(job);
+        let zones = self.eligible_zones(job);
         let fits = |m: &&Machine| {
             m.usable(now)
                 && m.claim.is_none()
-                && allowed(&job.spec, m)
+                && meets_constraints(&job.spec, m)
                 && m.total.holds(need)
                 && zones.as_ref().is_none_or(|zones| zones.contains(&m.zone))
         };
@@ -114,7 +116,7 @@
         let mut free: Vec<(f64, Name)> =
             self.machines.values().filter(fits).map(|m| (m.total.cpus - m.used.cpus, m.name.clone())).collect();
         free.sort_by(|a, b| b.0.total_cmp(&a.0));
-        let wanted = (job.waiting() as usize).min(most).saturating_sub(held);
+        let wanted = (job.waiting_tasks() as usize).min(most).saturating_sub(held);
         for (_, machine) in free.into_iter().take(wanted) {
             let machine = self.machines.get_mut(&machine).expect("listed");
             machine.claim = Some(Claim { job: name.clone(), room: need, until: now + HOLD_FOR, made: false });
@@ -123,16 +125,16 @@
 
     /// Makes room below the team's limit for a job that it holds back: stops tasks of
     /// the same team's work of lower priority, those that lose the least first.
-    pub fn make_quota(&mut self, env: &mut Env, name: &Name, within: &BTreeSet<Name>) {
+    pub fn preempt_for_quota(&mut self, env: &mut Env, name: &Name, within: &BTreeSet<Name>) {
         let now = env.steady();
         let job = &self.jobs[name];
         let need = Room::of(&job.spec);
         let Some(usage) = self.quotas.usage(&job.spec.team) else { return };
-        let mut have = usage.left();
+        let mut have = usage.remaining();
         let mut victims: Vec<(f64, TaskKey, Room)> = Vec::new();
         for other in self.jobs.values().filter(|other| other.spec.team == job.spec.team) {
             let room = Room::of(&other.spec);
-            for (task, place) in &other.places {
+            for (task, place) in &other.placements {
                 if place.stop.is_some() {
                     have.add(room);
                 } else if outranks(job, other, within) && !self.passes_before(&other.id, &job.id) {
@@ -143,7 +145,7 @@
         }
         have.memory_gb = f64::INFINITY;
         victims.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let wanted = job.waiting();
+        let wanted = job.waiting_tasks();
         let urgent = job.spec.priority == Priority::Production;
         let mut stopped = 0;
         for (_, (victim, task), room) in victims {
@@ -176,7 +178,7 @@
             && !victim_inside
             && !spared(job, victim)
             && victim.spec.team != job.spec.team
-            && self.quotas.usage(&victim.spec.team).is_some_and(|u| u.borrows());
+            && self.quotas.usage(&victim.spec.team).is_some_and(|u| u.exceeds_guarantee());
         lower || borrowed
     }
 
@@ -185,13 +187,13 @@
         let now = env.steady();
         let job = &self.jobs[name];
         let need = Room::of(&job.spec);
-        let zones = self.zones_for(job);
+        let zones = self.eligible_zones(job);
         let fits = |machine: &&Machine| {
             let taken = machine.claim.as_ref().is_some_and(|claim| claim.job != *name || claim.made);
             machine.usable(now)
                 && machine.in_open_zone()
                 && !taken
-                && allowed(&job.spec, machine)
+                && meets_constraints(&job.spec, machine)
                 && zones.as_ref().is_none_or(|zones| zones.contains(&machine.zone))
                 && machine.total.holds(need)
         };
@@ -203,10 +205,10 @@
         let mut best: Option<Plan> = None;
         for machine in fitting {
             let mut victims: Vec<(f64, TaskKey, Room)> = Vec::new();
-            let mut freed = self.free_room(machine);
+            let mut freed = self.free_resources(machine);
             for key in &machine.places {
                 let owner = &self.jobs[&key.0];
-                let place = &owner.places[&key.1];
+                let place = &owner.placements[&key.1];
                 if place.stop.is_some() {
                     // Its room comes free by itself.
                     freed.add(Room::of(&owner.spec));
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -11,44 +11,45 @@
 pub(crate) use rushyoke_balance::Resources as Room;
 
 /// Amounts compare with this slack, since sums of decimals are not exact.
-pub(crate) const SLACK: f64 = Room::SLACK;
+pub(crate) const QUOTA_TOLERANCE: f64 = Room::SLACK;
 
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Usage {
+pub(crate) struct TeamUsage {
     pub team: Team,
     pub cpus: f64,
     pub gpus: f64,
 }
 
-impl Usage {
+impl TeamUsage {
     /// How many more tasks of this size the limit allows.
     pub fn headroom(&self, need: Room) -> u32 {
-        self.left().times(Room { memory_gb: 0.0, ..need })
+        self.remaining().times(Room { memory_gb: 0.0, ..need })
     }
 
     /// What the limit leaves; memory is not limited.
-    pub fn left(&self) -> Room {
+    pub fn remaining(&self) -> Room {
         Room { cpus: self.team.cpus_max - self.cpus, gpus: self.team.gpus_max - self.gpus, memory_gb: 0.0 }
     }
 
     /// Whether the team uses more than it is guaranteed.
-    pub fn borrows(&self) -> bool {
-        self.cpus > self.team.cpus + SLACK || self.gpus > self.team.gpus + SLACK
+    pub fn exceeds_guarantee(&self) -> bool {
+        self.cpus > self.team.cpus + QUOTA_TOLERANCE || self.gpus > self.team.gpus + QUOTA_TOLERANCE
     }
 }
 
 #[derive(Default)]
 pub(crate) struct Quotas {
-    teams: BTreeMap<String, Usage>,
+    teams: BTreeMap<String, TeamUsage>,
 }
 
 impl Quotas {
     pub fn new(teams: &BTreeMap<String, Team>) -> Quotas {
-        let teams = teams.iter().map(|(name, team)| (name.clone(), Usage { team: team.clone(), cpus: 0.0, gpus: 0.0 }));
+        let teams =
+            teams.iter().map(|(name, team)| (name.clone(), TeamUsage { team: team.clone(), cpus: 0.0, gpus: 0.0 }));
         Quotas { teams: teams.collect() }
     }
 
-    pub fn usage(&self, team: &str) -> Option<&Usage> {
+    pub fn usage(&self, team: &str) -> Option<&TeamUsage> {
         self.teams.get(team)
     }
 
@@ -68,7 +69,7 @@
 
     /// The jobs that fit into their team's guarantee together with the team's earlier
     /// unfinished jobs. `jobs` come in the order of submission.
-    pub fn within<'a>(&self, jobs: impl Iterator<Item = &'a Job>) -> Vec<Name> {
+    pub fn jobs_within_guarantee<'a>(&self, jobs: impl Iterator<Item = &'a Job>) -> Vec<Name> {
         let mut sums: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
         let mut within = Vec::new();
         for job in jobs {
@@ -76,10 +77,10 @@
                 continue;
             };
             let sum = sums.entry(&job.spec.team).or_default();
-            let tasks = f64::from(job.open());
+            let tasks = f64::from(job.unfinished_tasks());
             sum.0 += tasks * job.spec.cpus;
             sum.1 += tasks * job.spec.gpus;
-            if sum.0 <= usage.team.cpus + SLACK && sum.1 <= usage.team.gpus + SLACK {
+            if sum.0 <= usage.team.cpus + QUOTA_TOLERANCE && sum.1 <= usage.team.gpus + QUOTA_TOLERANCE {
                 within.push(job.id.clone());
             }
         }
--- a/crates/core/src/spread.rs
+++ b/crates/core/src/rebalance.rs
@@ -15,7 +15,7 @@
 use crate::env::Env;
 use crate::fleet::Machine;
 use crate::jobs::*;
-use crate::place::allowed;
+use crate::place::meets_constraints;
 use crate::quota::Room;
 use crate::term::Term;
 
@@ -44,8 +44,8 @@
 }
 
 /// Run time that a task has left, as far as is known.
-fn left_s(now: Instant, job: &Job, place: &Place) -> f64 {
-    let ran = place.running.map_or(0.0, |at| now.duration_since(at).as_secs_f64());
+fn left_s(now: Instant, job: &Job, place: &Placement) -> f64 {
+    let ran = place.running_since.map_or(0.0, |at| now.duration_since(at).as_secs_f64());
     (job.mean_run_s - ran).max(0.0)
 }
 
@@ -62,19 +62,19 @@
     fn candidate(&self, key: &TaskKey) -> Option<Candidate> {
         let now = self.env.steady();
         let job = &self.term.jobs[&key.0];
-        let place = &job.places[&key.1];
+        let place = &job.placements[&key.1];
         let settings = self.balancer.settings();
         let movable = job.spec.kind == Kind::Array
             && job.spec.priority != Priority::Production
             && !settings.protected.contains(&job.spec.class)
             && !job.restarted.contains(&key.1)
-            && !job.rescued
+            && !job.was_starved
             && place.stop.is_none()
             && matches!(place.stage, Stage::Fetching | Stage::Running);
         if !movable {
             return None;
         }
-        let ran = place.running.map_or(0.0, |at| now.duration_since(at).as_secs_f64());
+        let ran = place.running_since.map_or(0.0, |at| now.duration_since(at).as_secs_f64());
         let saves = job.spec.checkpoint_s > 0.0;
         if !saves && ran > settings.fresh.as_secs_f64() {
             return None;
@@ -112,7 +112,7 @@
         let places = self.term.machines.get(machine).into_iter().flat_map(|machine| &machine.places);
         let left = places.map(|(name, task)| {
             let job = &self.term.jobs[name];
-            if job.spec.kind == Kind::Service { horizon } else { left_s(now, job, &job.places[task]) }
+            if job.spec.kind == Kind::Service { horizon } else { left_s(now, job, &job.placements[task]) }
         });
         left.sum()
     }
@@ -125,15 +125,15 @@
         is_destination(target, self.env)
             && !reserved
             && target.claim.is_none()
-            && allowed(&job.spec, target)
-            && !job.shuns(machine)
-            && self.term.zones_for(job).is_none_or(|zones| zones.contains(&target.zone))
+            && meets_constraints(&job.spec, target)
+            && !job.avoids(machine)
+            && self.term.eligible_zones(job).is_none_or(|zones| zones.contains(&target.zone))
             && room.holds(task.need)
     }
 
     fn fetch_s(&self, task: &Candidate, machine: &Name) -> f64 {
         let target = self.term.machines.get(machine);
-        target.map_or(f64::INFINITY, |target| self.term.fetch_s(self.env, &self.term.jobs[&task.key.0], target))
+        target.map_or(f64::INFINITY, |target| self.term.image_fetch_s(self.env, &self.term.jobs[&task.key.0], target))
     }
 }
 
@@ -141,14 +141,14 @@
     // What happens, told to the balancer.
 
     /// A task has a place.
-    pub fn task_placed(&mut self, now: Instant, key: &TaskKey, machine: &Name) {
+    pub fn note_placement_started(&mut self, now: Instant, key: &TaskKey, machine: &Name) {
         let spec = &self.jobs[&key.0].spec;
         let Some(balancer) = &mut self.balance else { return };
         balancer.placed(now, key, machine, &Name::from(spec.team.as_str()), Room::of(spec));
     }
 
     /// A worker reports a task in another state.
-    pub fn move_seen(&mut self, now: Instant, key: &TaskKey, state: TaskState) {
+    pub fn note_move_progress(&mut self, now: Instant, key: &TaskKey, state: TaskState) {
         let Some(balancer) = &mut self.balance else { return };
         match state {
             TaskState::Running => {
@@ -161,7 +161,7 @@
     }
 
     /// A task has left its place; `waits` if it cannot start again at once.
-    pub fn task_left(&mut self, now: Instant, key: &TaskKey, waits: bool) {
+    pub fn note_placement_ended(&mut self, now: Instant, key: &TaskKey, waits: bool) {
         let ended = waits || self.jobs.get(&key.0).is_none_or(|job| job.cancelled || job.is_done(key.1));
         let Some(balancer) = &mut self.balance else { return };
         let ended = balancer.left(now, key, ended);
@@ -178,7 +178,7 @@
     }
 
     /// A job is cancelled: its moves end.
-    pub fn moves_cancelled(&mut self, job: &Name) {
+    pub fn cancel_moves_of(&mut self, job: &Name) {
         let Some(balancer) = &self.balance else { return };
         for key in balancer.moves().of_job(job) {
             self.give_up_move(&key, GiveUp::JobCancelled);
@@ -196,17 +196,17 @@
     }
 
     /// Whether a team has more than its fair share of the fleet.
-    pub fn over_fair_share(&self, team: &str) -> bool {
+    pub fn exceeds_fair_share(&self, team: &str) -> bool {
         self.balance.as_ref().is_some_and(|balancer| balancer.shares().weighted_share(balancer.load(), team) > 1.0)
     }
 
     /// Free room on a machine for a job, by the bookings of a balancer that is taken out of the term.
     fn room_without(&self, balancer: &Balancer, machine: &Machine, job: &Name) -> Room {
-        self.room_for(machine, job).minus(balancer.load().booked(&machine.name))
+        self.available_resources(machine, job).minus(balancer.load().booked(&machine.name))
     }
 
     /// Once a second: the balancer learns which machines take work, and moves begin that pay.
-    pub fn spread_tick(&mut self, env: &mut Env) {
+    pub fn rebalance_tick(&mut self, env: &mut Env) {
         let now = env.steady();
         let Some(mut balancer) = self.balance.take() else { return };
         for machine in self.machines.values() {
@@ -260,7 +260,7 @@
 
     fn begin_moves(&mut self, env: &Env, balancer: &mut Balancer) {
         let now = env.steady();
-        let mut reserve_left = self.ordinary_left(now) - self.renting.service_reserve(env);
+        let mut reserve_left = self.free_on_demand_cpus(now) - self.renting.service_reserve(env);
         let record_bytes = env.facts.value_bytes.saturating_sub(RECORD_SPARE);
         loop {
             let view = View { term: self, env, balancer, reserve_left };
@@ -288,7 +288,7 @@
 
     /// A value of the record of open moves, if it may be written: `durable_with` tells whether a task's
     /// mark is durable, or written with it. With it come the moves that wait for that.
-    pub fn moves_record(
+    pub fn open_moves_record(
         &mut self,
         part: usize,
         durable_with: impl Fn(&TaskKey) -> bool,
@@ -304,19 +304,19 @@
     }
 
     /// Values of the record of open moves that must be written.
-    pub fn moves_unwritten(&self) -> Vec<usize> {
+    pub fn unwritten_move_parts(&self) -> Vec<usize> {
         self.balance.as_ref().map(|balancer| balancer.moves().unwritten()).unwrap_or_default()
     }
 
     /// A write of values of the record failed, or is in doubt.
-    pub fn moves_not_written(&mut self, parts: &[usize]) {
+    pub fn mark_moves_unwritten(&mut self, parts: &[usize]) {
         if let Some(balancer) = &mut self.balance {
             parts.iter().for_each(|part| balancer.record_is_stale(*part));
         }
     }
 
     /// Bookings are durable: their tasks are stopped, unless something has changed meanwhile.
-    pub fn moves_durable(&mut self, env: &mut Env, booked: Vec<(TaskKey, u64)>) {
+    pub fn start_durable_moves(&mut self, env: &mut Env, booked: Vec<(TaskKey, u64)>) {
         for (key, attempt) in booked {
             self.stop_for_move(env, &key, attempt);
         }
@@ -329,7 +329,7 @@
         else {
             return;
         };
-        let place = self.jobs.get(&key.0).and_then(|job| job.places.get(&key.1));
+        let place = self.jobs.get(&key.0).and_then(|job| job.placements.get(&key.1));
         // Stopped for another reason, or ended and begun anew.
         if place.is_none_or(|place| place.attempt != attempt || place.stop.is_some()) {
             self.give_up_move(key, GiveUp::LeftEarly);
@@ -356,11 +356,11 @@
 
     /// Whether the room that is booked on a machine for a task is there.
     fn booked_room(&self, machine: &Machine, need: Room) -> bool {
-        self.free_room(machine).plus(need).holds(need)
+        self.free_resources(machine).plus(need).holds(need)
     }
 
     /// Gives vacated tasks their new places, before anything else can take the room or their team's part.
-    pub fn place_vacated(&mut self, env: &Env) {
+    pub fn place_vacated_tasks(&mut self, env: &Env) {
         if !std::mem::take(&mut self.vacated_due) {
             return;
         }
@@ -375,7 +375,7 @@
     fn place_moved(&mut self, env: &Env, open: &Move) {
         let now = env.steady();
         let (name, task) = &open.key;
-        let waits = self.jobs.get(name).is_some_and(|job| job.waits(*task));
+        let waits = self.jobs.get(name).is_some_and(|job| job.is_requeued(*task));
         let reason = match self.machines.get(&open.to) {
             _ if !waits => Some(GiveUp::PlacedElsewhere),
             // Placement goes by tiers.
@@ -393,20 +393,20 @@
             self.place_due = true;
             return;
         }
-        self.plan(name, *task, &open.to, now);
+        self.place_task(name, *task, &open.to, now);
     }
 
     fn takes_moved(&self, target: &Machine, open: &Move) -> bool {
         let job = &self.jobs[&open.key.0];
-        !self.is_limited(&job.spec.team, open.need)
-            && allowed(&job.spec, target)
-            && self.zones_for(job).is_none_or(|zones| zones.contains(&target.zone))
+        !self.is_at_team_limit(&job.spec.team, open.need)
+            && meets_constraints(&job.spec, target)
+            && self.eligible_zones(job).is_none_or(|zones| zones.contains(&target.zone))
             && self.booked_room(target, open.need)
     }
 
     /// Takes over the open moves of an earlier leader. One is finished if its task has left the source, or
     /// saves there; one whose task runs on is dropped once its worker tells, and any other at once.
-    pub fn adopt_moves(&mut self, env: &Env) {
+    pub fn restore_moves(&mut self, env: &Env) {
         let (mut taken, mut dropped) = (0, 0);
         for (part, record) in std::mem::take(&mut self.loaded_moves) {
             for open in &record.moves {
@@ -416,7 +416,7 @@
                 }
             }
             if !record.moves.is_empty() {
-                self.moves_not_written(&[part]);
+                self.mark_moves_unwritten(&[part]);
             }
         }
         if taken + dropped > 0 {
@@ -428,14 +428,14 @@
     fn adopt_move(&mut self, env: &Env, part: usize, open: &OpenMove) -> bool {
         let now = env.steady();
         let Some(job) = self.jobs.get_mut(open.job.as_str()) else { return false };
-        let vacated = job.waits(open.task);
-        let at_source = job.places.get(&open.task).is_some_and(|place| place.attempt == open.attempt);
+        let vacated = job.is_requeued(open.task);
+        let at_source = job.placements.get(&open.task).is_some_and(|place| place.attempt == open.attempt);
         // Else it was moved, restarted or ended since, by a leader that knows nothing of moves perhaps.
         if job.cancelled || !job.restarted.contains(&open.task) || !(vacated || at_source) {
             return false;
         }
         if vacated {
-            job.put_back(open.task, now + KNOWN_SOON);
+            job.requeue(open.task, now + KNOWN_SOON);
         }
         let need = Room::of(&job.spec);
         if let Some(balancer) = &mut self.balance {
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -96,7 +96,7 @@
         let records = &self.records;
         let since = |gap: Duration| records.sent.is_none_or(|t| now.duration_since(t) >= gap);
         let awaited = !records.placed.is_empty() || !records.closing.is_empty();
-        let moves = since(MOVES_GAP) && !self.moves_unwritten().is_empty();
+        let moves = since(MOVES_GAP) && !self.unwritten_move_parts().is_empty();
         let any = awaited
             || moves
             || self.zones_unwritten()
@@ -116,7 +116,7 @@
             let Some(job) = self.jobs.get_mut(&name).filter(|job| !job.closing) else {
                 continue;
             };
-            let over = if job.cancelled { job.places.is_empty() } else { job.complete() };
+            let over = if job.cancelled { job.placements.is_empty() } else { job.is_complete() };
             if !over {
                 continue;
             }
@@ -129,7 +129,7 @@
                 (true, orphaned) => orphaned.then_some(RecordState::Cancelled),
             };
             if let Some(state) = end {
-                let record = JobRecord::over(state, job.spec.tasks);
+                let record = JobRecord::terminal(state, job.spec.tasks);
                 next = next.put(job_key(&name), serde_json::to_value(record).expect("records always encode"));
             }
             *txn = next;
@@ -216,7 +216,7 @@
 
     fn requeue(&mut self, batch: Batch) {
         for ((name, task), _) in batch.tasks {
-            let place = self.jobs.get(&name).and_then(|job| job.places.get(&task));
+            let place = self.jobs.get(&name).and_then(|job| job.placements.get(&task));
             let planned = place.is_some_and(|place| place.stage == Stage::Planned);
             let turn = self.jobs.get(&name).filter(|_| planned).map(|job| Turn::of(&job.spec));
             self.records.changed((name, task), turn);
@@ -228,7 +228,7 @@
             }
         }
         self.records.drops.extend(batch.drops);
-        self.moves_not_written(&batch.moves);
+        self.mark_moves_unwritten(&batch.moves);
         if batch.failover {
             self.zones_not_written();
         }
@@ -252,17 +252,17 @@
             self.records.newer(batch.tasks.iter().map(|(key, _)| key));
         }
         for ((name, task), attempt) in batch.tasks {
-            let place = self.jobs.get_mut(&name).and_then(|job| job.places.get_mut(&task));
+            let place = self.jobs.get_mut(&name).and_then(|job| job.placements.get_mut(&task));
             if let Some(place) = place.filter(|p| p.stage == Stage::Planned && Some(p.attempt) == attempt) {
                 place.stage = Stage::Ordered;
                 let machine = place.machine.clone();
                 self.call_soon(&machine);
             }
         }
-        self.moves_durable(env, batch.booked);
+        self.start_durable_moves(env, batch.booked);
         for (name, page) in batch.pages {
             if let Some(job) = self.jobs.get_mut(&name) {
-                job.pages.insert(page, version);
+                job.page_versions.insert(page, version);
             } else {
                 self.records.drop_key(page_key(&name, page));
             }
--- a/crates/core/src/records/log.rs
+++ b/crates/core/src/records/log.rs
@@ -30,7 +30,7 @@
 }
 
 impl<'a> Size<'a> {
-    fn add(&mut self, key: &'a TaskKey, place: Option<&'a Place>, reruns: bool, addr_len: impl Fn(&Name) -> usize) {
+    fn add(&mut self, key: &'a TaskKey, place: Option<&'a Placement>, reruns: bool, addr_len: impl Fn(&Name) -> usize) {
         if self.jobs.insert(&key.0) {
             self.bytes += 64 + key.0.len();
         }
@@ -62,7 +62,7 @@
         let waiting = self.records.placed.iter().map(|(_, key)| key).chain(&self.records.changed);
         let looked_at: Vec<TaskKey> = waiting.take(env.facts.value_bytes / LEAST_BYTES).cloned().collect();
         let (due, over): (Vec<_>, Vec<_>) = looked_at.into_iter().partition(|key| open(&key.0).is_some());
-        let others_unwritten = self.zones_unwritten() || !self.moves_unwritten().is_empty();
+        let others_unwritten = self.zones_unwritten() || !self.unwritten_move_parts().is_empty();
         let records = &mut self.records;
         // What is over needs no record.
         over.iter().for_each(|key| records.settled(key));
@@ -72,7 +72,7 @@
         let jobs = &self.jobs;
         let machines = &self.machines;
         let addr_len = |name: &Name| machines.get(name).map_or(0, |m| m.addr.len());
-        let place_of = |key: &TaskKey| jobs.get(&key.0).and_then(|job| job.places.get(&key.1));
+        let place_of = |key: &TaskKey| jobs.get(&key.0).and_then(|job| job.placements.get(&key.1));
         let reran = |key: &TaskKey| jobs.get(&key.0).is_some_and(|job| job.zone_reruns.contains_key(&key.1));
         records.last.tasks.retain(|key| jobs.get(&key.0).is_some_and(|job| !job.closing));
         let mut size = Size::default();
@@ -131,12 +131,12 @@
         }
         let here: BTreeSet<TaskKey> = batch.tasks.iter().map(|(key, _)| key.clone()).collect();
         let waiting = std::mem::take(&mut self.records.changed);
-        for part in self.moves_unwritten() {
+        for part in self.unwritten_move_parts() {
             let full = (txn.writes.len() + 1) * env.facts.value_bytes > TXN_BYTES;
             if txn.writes.len() >= env.facts.txn_ops || full {
                 break;
             }
-            let record = self.moves_record(part, |key| here.contains(key) || !waiting.contains(key));
+            let record = self.open_moves_record(part, |key| here.contains(key) || !waiting.contains(key));
             let Some((record, booked)) = record else { continue };
             let value = serde_json::to_value(record).expect("records always encode");
             *txn = std::mem::take(txn).put(record_key(part), value);
@@ -149,7 +149,7 @@
     /// Whether a page of a sealed segment must be written before the segment can go.
     fn ungathered(&self, version: u64, name: &Name, page: u32) -> bool {
         let job = self.jobs.get(name);
-        job.is_some_and(|job| job.pages.get(&page).is_none_or(|written| *written < version))
+        job.is_some_and(|job| job.page_versions.get(&page).is_none_or(|written| *written < version))
     }
 
     /// Writes pages of the oldest segment while there are many, and deletes it once all
@@ -159,7 +159,7 @@
     pub(super) fn gather(&mut self, env: &Env, txn: &mut Txn, batch: &mut Batch) {
         while let Some(mut oldest) = self.records.sealed.pop_front() {
             let version = oldest.version;
-            oldest.tasks.retain(|(name, task)| self.ungathered(version, name, task / PAGE));
+            oldest.tasks.retain(|(name, task)| self.ungathered(version, name, task / TASKS_PER_PAGE));
             if !oldest.tasks.is_empty() {
                 self.records.sealed.push_front(oldest);
                 break;
@@ -198,7 +198,8 @@
         let behind = self.records.sealed.len().saturating_sub(segments_kept(env.facts.value_bytes));
         let most = (txn.writes.len() + 1 + behind).min(env.facts.txn_ops);
         let mut bytes = env.facts.value_bytes * txn.writes.len();
-        let mut pages: Vec<(Name, u32)> = oldest.tasks.iter().map(|(name, task)| (name.clone(), task / PAGE)).collect();
+        let mut pages: Vec<(Name, u32)> =
+            oldest.tasks.iter().map(|(name, task)| (name.clone(), task / TASKS_PER_PAGE)).collect();
         pages.dedup();
         pages.retain(|page| !batch.pages.contains(page));
         let mut unfit: BTreeSet<(Name, u32)> = BTreeSet::new();
@@ -220,7 +221,8 @@
             *txn = std::mem::take(txn).put(page_key(&name, page), value);
             batch.pages.push((name, page));
         }
-        let again = oldest.tasks.iter().filter(|(name, task)| sparse && unfit.contains(&(name.clone(), task / PAGE)));
+        let again =
+            oldest.tasks.iter().filter(|(name, task)| sparse && unfit.contains(&(name.clone(), task / TASKS_PER_PAGE)));
         for key in again.cloned().collect::<Vec<_>>() {
             self.records.changed(key, None);
         }
@@ -238,19 +240,19 @@
             record.jobs.push(ChangedTasks { job: name.to_string(), ..ChangedTasks::default() });
         }
         let changed = record.jobs.last_mut().expect("pushed");
-        if let Some(place) = job.places.get(task) {
+        if let Some(place) = job.placements.get(task) {
             let index = *indices.entry(place.machine.clone()).or_insert_with(|| {
                 record.machines.push((place.machine.to_string(), addr_of(&place.machine)));
                 record.machines.len() - 1
             });
-            changed.places.push((*task, index, place.attempt));
+            changed.placements.push((*task, index, place.attempt));
         } else if job.is_done(*task) {
             changed.done.push(*task);
         } else {
-            changed.open.push(*task);
+            changed.waiting.push(*task);
         }
         if job.restarted.contains(task) {
-            changed.again.push(*task);
+            changed.restarted.push(*task);
         }
         if let Some(count) = job.zone_reruns.get(task) {
             changed.zone_reruns.push((*task, *count));
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -30,12 +30,12 @@
             return;
         };
         job.cancelled = true;
-        let tasks: Vec<u32> = job.places.keys().copied().collect();
+        let tasks: Vec<u32> = job.placements.keys().copied().collect();
         tracing::debug!(job = &**name, tasks = tasks.len(), token = self.token, "cancelled");
         if !tasks.is_empty() {
             self.stops.job_cancelled(name, env.steady());
         }
-        self.moves_cancelled(name);
+        self.cancel_moves_of(name);
         for task in tasks {
             self.stop_task(env, name, task, 0.0);
         }
@@ -47,7 +47,7 @@
         let Some(job) = self.jobs.get(name) else {
             return;
         };
-        let over = if job.cancelled { job.places.is_empty() } else { job.complete() };
+        let over = if job.cancelled { job.placements.is_empty() } else { job.is_complete() };
         if over {
             self.stops.job_ended(name);
             self.records.close(name);
@@ -59,7 +59,7 @@
         self.stops.job_ended(name);
         if let Some(job) = self.jobs.remove(name) {
             self.unlink(&job);
-            for page in job.pages.keys() {
+            for page in job.page_versions.keys() {
                 self.records.drop_key(page_key(name, *page));
             }
         }
@@ -95,8 +95,8 @@
         if self.last_second.is_none_or(|t| now.duration_since(t) >= Duration::from_secs(1)) {
             self.last_second = Some(now);
             self.rent_tick(env);
-            self.speculate_tick(env);
-            self.spread_tick(env);
+            self.speculation_tick(env);
+            self.rebalance_tick(env);
             self.place_due = true;
         }
     }
@@ -107,7 +107,7 @@
             return;
         }
         let now = env.steady();
-        self.place_vacated(env);
+        self.place_vacated_tasks(env);
         // A pass looks at every unfinished job, so many jobs make passes rarer.
         let gap = (PASS_GAP + PASS_GAP_PER_JOB * self.jobs.len() as u32).min(LONGEST_PASS_GAP);
         if self.place_due && self.placed_at.is_none_or(|t| now.duration_since(t) >= gap) {
--- a/crates/core/src/recover/load.rs
+++ b/crates/core/src/recover/load.rs
@@ -213,7 +213,7 @@
         self.loaded = true;
         let addresses = self.adopt_records(env.steady());
         self.hold_places(env.steady(), &addresses);
-        self.adopt_moves(env);
+        self.restore_moves(env);
         for name in self.jobs.keys().cloned().collect::<Vec<_>>() {
             self.link(env, &name);
         }
@@ -225,7 +225,7 @@
             self.after_change(&name);
         }
         self.inherited = !self.machines.is_empty();
-        let places: usize = self.jobs.values().map(|j| j.places.len()).sum();
+        let places: usize = self.jobs.values().map(|j| j.placements.len()).sum();
         tracing::info!(jobs = self.jobs.len(), places, machines = self.machines.len(), "records read");
         // Machines that hold services are shown the token at once.
         let hosts: Vec<Name> = self.machines.values().filter(|m| m.hosts_service()).map(|m| m.name.clone()).collect();
@@ -240,7 +240,7 @@
         let mut addresses: BTreeMap<String, String> = BTreeMap::new();
         for (id, page, version, record) in std::mem::take(&mut self.loaded_pages) {
             match self.jobs.get_mut(&id) {
-                Some(job) => job.adopt_page(page, version, &record, now),
+                Some(job) => job.restore_page(page, version, &record, now),
                 // Its job is over; the page was left when the leader changed.
                 None => self.records.drop_key(page_key(&id, page)),
             }
@@ -252,8 +252,8 @@
             let mut tasks: BTreeSet<(Name, u32)> = BTreeSet::new();
             for changed in &record.jobs {
                 if let Some(job) = self.jobs.get_mut(changed.job.as_str()) {
-                    job.adopt_changes(version, changed, &record.machines, now);
-                    let named = changed.places.iter().map(|(t, ..)| t).chain(&changed.done).chain(&changed.open);
+                    job.restore_changes(version, changed, &record.machines, now);
+                    let named = changed.placements.iter().map(|(t, ..)| t).chain(&changed.done).chain(&changed.waiting);
                     tasks.extend(named.map(|task| (job.id.clone(), *task)));
                 }
             }
@@ -266,10 +266,10 @@
     /// Puts the places of the records on their machines, and into their teams' use.
     fn hold_places(&mut self, now: Instant, addresses: &BTreeMap<String, String>) {
         for (id, job) in &mut self.jobs {
-            job.settle(now);
+            job.rebuild_queue(now);
             // What a job has had is not recorded; one with nothing counts from its submission.
-            job.served = (!job.places.is_empty() || job.done_count > 0).then_some(now);
-            for (task, place) in &job.places {
+            job.last_placed = (!job.placements.is_empty() || job.done_count > 0).then_some(now);
+            for (task, place) in &job.placements {
                 let name = &place.machine;
                 let machine = self.machines.entry(name.clone()).or_insert_with(|| {
                     let address = addresses.get(&**name).cloned().unwrap_or_default();
@@ -317,7 +317,7 @@
                     "new job"
                 );
                 self.renting.saw_job(&record.spec);
-                let job = Job::new(record.spec, record.at_ms, version, record.cancelled);
+                let job = Job::new(record.spec, record.submitted_ms, version, record.cancelled);
                 self.jobs.insert(name.clone(), job);
                 // While all is read for the first time, what it awaits may come later.
                 if self.loaded {
--- a/crates/core/src/rent/demand.rs
+++ b/crates/core/src/rent/demand.rs
@@ -70,7 +70,7 @@
 impl Term {
     /// Tasks of a job that wait and that its team's limit would let run.
     fn startable(&self, job: &Job, team_left: &mut BTreeMap<String, f64>) -> f64 {
-        let waiting = job.waiting();
+        let waiting = job.waiting_tasks();
         if waiting == 0 {
             return 0.0;
         }
@@ -198,7 +198,7 @@
 
     /// The only zones where a job's next task may go, if not everywhere.
     pub fn bound_to(&self, job: &Job) -> Option<Vec<String>> {
-        let zones = self.zones_for(job);
+        let zones = self.eligible_zones(job);
         match (&job.spec.zone, zones) {
             (Some(zone), None) => Some(vec![zone.clone()]),
             (Some(zone), Some(zones)) => Some(zones.into_iter().filter(|z| z == zone).collect()),
--- a/crates/core/src/rent/returns.rs
+++ b/crates/core/src/rent/returns.rs
@@ -10,7 +10,7 @@
 use crate::fleet::{Claim, Machine};
 use crate::io::*;
 use crate::jobs::*;
-use crate::place::{CLAIM_FOR, allowed};
+use crate::place::{CLAIM_DURATION, meets_constraints};
 use crate::quota::Room;
 use crate::term::Term;
 
@@ -38,7 +38,7 @@
         candidates.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.cmp(&b.1)).then(a.2.total_cmp(&b.2)));
         // What may not use spot machines must find room on the ordinary ones that stay.
         let firm_jobs = self.jobs.values().filter(|job| !job.spec.spot);
-        let firm_use: f64 = firm_jobs.map(|job| job.spec.cpus * job.places.len() as f64).sum();
+        let firm_use: f64 = firm_jobs.map(|job| job.spec.cpus * job.placements.len() as f64).sum();
         let firm_need = firm_use + self.renting.service_reserve(env);
         let firm = self.machines.values().filter(|m| m.counts() && !m.spot);
         let mut firm_have: f64 = firm.map(|m| m.total.cpus).sum();
@@ -65,7 +65,7 @@
     /// Whether tasks of the job wait that its team's limit would let run.
     fn could_start(&self, job: &Job) -> bool {
         let usage = self.quotas.usage(&job.spec.team);
-        job.waiting() > 0 && usage.is_some_and(|u| u.headroom(Room::of(&job.spec)) > 0)
+        job.waiting_tasks() > 0 && usage.is_some_and(|u| u.headroom(Room::of(&job.spec)) > 0)
     }
 
     /// Moves the tasks of a retiring machine that save their progress, and replicas, where that
@@ -81,7 +81,7 @@
         renting.moves = (renting.moves + f64::from(replicas) * MOVED_SHARE).min(MOVES_SAVED);
         let mut free: Vec<(&Machine, Room)> = Vec::new();
         for machine in self.machines.values().filter(|m| m.usable(now) && !m.retiring && m.claim.is_none()) {
-            free.push((machine, self.free_room(machine)));
+            free.push((machine, self.free_resources(machine)));
         }
         // The fullest first, so that the others can be returned.
         free.sort_by(|a, b| a.1.cpus.total_cmp(&b.1.cpus));
@@ -116,13 +116,13 @@
             }
         }
         let Some((_, moved)) = best else { return };
-        let place = &self.jobs[&moved[0].0.0].places[&moved[0].0.1];
+        let place = &self.jobs[&moved[0].0.0].placements[&moved[0].0.1];
         tracing::info!(machine = &*place.machine, tasks = moved.len(), "moving its tasks, to return it");
         for ((job, task), target) in moved {
             let spec = self.jobs[&job].spec.clone();
             if spec.kind == Kind::Service {
                 self.renting.moves -= 1.0;
-                let until = now + CLAIM_FOR;
+                let until = now + CLAIM_DURATION;
                 let claim = Claim { job: job.clone(), room: Room::of(&spec), until, made: true };
                 self.machines.get_mut(&target).expect("a target").claim = Some(claim);
             }
@@ -136,8 +136,8 @@
         let mut moved = Vec::new();
         for (name, task) in &machine.places {
             let job = &self.jobs[name];
-            let place = &job.places[task];
-            let ran = now.duration_since(place.running?).as_secs_f64();
+            let place = &job.placements[task];
+            let ran = now.duration_since(place.running_since?).as_secs_f64();
             let left = job.mean_run_s - ran;
             if place.stop.is_some() {
                 continue;
@@ -161,7 +161,7 @@
         }
         let left = machine.places.iter().filter_map(|(name, task)| {
             let job = self.jobs.get(name)?;
-            let ran = job.places.get(task)?.running.map_or(0.0, |t| now.duration_since(t).as_secs_f64());
+            let ran = job.placements.get(task)?.running_since.map_or(0.0, |t| now.duration_since(t).as_secs_f64());
             Some((job.mean_run_s - ran).max(1.0))
         });
         left.fold(0.0, f64::max)
@@ -187,7 +187,8 @@
             self.jobs.values().filter(|job| self.could_start(job)).map(|job| (job, self.bound_to(job))).collect();
         let wanted = |machine: &Machine| {
             waiting.iter().any(|(job, zones)| {
-                allowed(&job.spec, machine) && zones.as_ref().is_none_or(|zones| zones.contains(&machine.zone))
+                meets_constraints(&job.spec, machine)
+                    && zones.as_ref().is_none_or(|zones| zones.contains(&machine.zone))
             })
         };
         let mut idle: Vec<&Machine> = self
@@ -195,7 +196,7 @@
             .values()
             .filter(|m| m.up && m.counts() && m.places.is_empty() && !wanted(m))
             // A move is on its way there.
-            .filter(|m| m.total.minus(self.free_room(m)).is_nothing())
+            .filter(|m| m.total.minus(self.free_resources(m)).is_nothing())
             .filter(|m| m.retiring && now.duration_since(m.known) > MIN_CHARGE)
             .collect();
         // The dearest first.
@@ -243,7 +244,7 @@
 fn takes_replica(target: &Machine, from: &Machine, job: &Job, taken: &BTreeSet<&Name>) -> bool {
     let key = |task| (job.id.clone(), task);
     target.zone == from.zone
-        && allowed(&job.spec, target)
+        && meets_constraints(&job.spec, target)
         && !taken.contains(&target.name)
         && target.places.range(key(0)..=key(u32::MAX)).next().is_none()
 }
--- a/crates/core/src/speculate.rs
+++ b/crates/core/src/speculate.rs
@@ -15,7 +15,7 @@
 use crate::env::Env;
 use crate::fleet::{Claim, Machine};
 use crate::jobs::{Job, Name, Stage, TaskKey};
-use crate::place::allowed;
+use crate::place::meets_constraints;
 use crate::quota::Room;
 use crate::term::Term;
 
@@ -34,7 +34,7 @@
 
 impl Term {
     /// Once per period: levels, stragglers and at most one restart.
-    pub fn speculate_tick(&mut self, env: &mut Env) {
+    pub fn speculation_tick(&mut self, env: &mut Env) {
         let now = env.steady();
         let policy = env.policy.clone();
         if !policy.speculation
@@ -66,7 +66,7 @@
         let need = Room::of(&job.spec);
         let grace = if job.spec.checkpoint_s > 0.0 { job.spec.save_s } else { 0.0 };
         let target = self.machines.get_mut(&best.target).expect("a candidate");
-        let until = now + crate::place::CLAIM_FOR;
+        let until = now + crate::place::CLAIM_DURATION;
         target.claim = Some(Claim { job: best.key.0.clone(), room: need, until, made: true });
         self.stop_task(env, &best.key.0, best.key.1, grace);
     }
@@ -95,8 +95,8 @@
             let mut running = 0;
             let mut compared = Vec::new();
             for key in &machine.places {
-                let place = &self.jobs[&key.0].places[&key.1];
-                let (Stage::Running, Some(since)) = (place.stage, place.running) else {
+                let place = &self.jobs[&key.0].placements[&key.1];
+                let (Stage::Running, Some(since)) = (place.stage, place.running_since) else {
                     continue;
                 };
                 running += 1;
@@ -134,8 +134,8 @@
         for machine in self.machines.values().filter(|m| m.straggler) {
             for key in &machine.places {
                 let job = &self.jobs[&key.0];
-                let place = &job.places[&key.1];
-                let (Stage::Running, Some(since)) = (place.stage, place.running) else {
+                let place = &job.placements[&key.1];
+                let (Stage::Running, Some(since)) = (place.stage, place.running_since) else {
                     continue;
                 };
                 if job.spec.kind != Kind::Array || place.stop.is_some() || job.restarted.contains(&key.1) {
@@ -152,7 +152,7 @@
                     continue;
                 };
                 let elapsed = now.duration_since(since).as_secs_f64();
-                let gain = gain(minimum, remaining(own.mean, elapsed), &table);
+                let gain = expected_gain_s(minimum, remaining_s(own.mean_s, elapsed), &table);
                 tracing::debug!(
                     job = &*key.0,
                     task = key.1,
@@ -176,8 +176,8 @@
     /// Per level the mean run time of the type, and its containers.
     fn table(&self, job: &Job, cells: &[Option<Cell>], levels: usize) -> Vec<(Option<f64>, f64)> {
         let need = Room::of(&job.spec);
-        let mut table: Vec<(Option<f64>, f64)> = (0..levels).map(|l| (cells[l].map(|c| c.mean), 0.0)).collect();
-        for machine in self.machines.values().filter(|m| m.up && m.counts() && allowed(&job.spec, m)) {
+        let mut table: Vec<(Option<f64>, f64)> = (0..levels).map(|l| (cells[l].map(|c| c.mean_s), 0.0)).collect();
+        for machine in self.machines.values().filter(|m| m.up && m.counts() && meets_constraints(&job.spec, m)) {
             table[machine.level.min(levels - 1)].1 += f64::from(machine.total.times(need));
         }
         table
@@ -186,7 +186,7 @@
     /// A machine with room now, no straggler, at or above the minimum level.
     fn target(&self, now: Instant, job: &Job, minimum: usize, from: &Name) -> Option<Name> {
         let need = Room::of(&job.spec);
-        let zones = self.zones_for(job);
+        let zones = self.eligible_zones(job);
         let fits = |m: &&Machine| {
             m.name != *from
                 && !m.straggler
@@ -194,9 +194,9 @@
                 && m.claim.is_none()
                 && m.usable(now)
                 && m.in_open_zone()
-                && allowed(&job.spec, m)
+                && meets_constraints(&job.spec, m)
                 && zones.as_ref().is_none_or(|zones| zones.contains(&m.zone))
-                && self.room_for(m, &job.id).holds(need)
+                && self.available_resources(m, &job.id).holds(need)
         };
         let best = self.machines.values().filter(fits).max_by(|a, b| {
             a.images.holds(&job.spec.image).cmp(&b.images.holds(&job.spec.image)).then(a.level.cmp(&b.level))
--- a/crates/core/src/speculate/statistics.rs
+++ b/crates/core/src/speculate/statistics.rs
@@ -46,8 +46,8 @@
 
     /// The cell (μ, δ) if it may be used.
     pub fn cell(&self, minimum: u32) -> Option<Cell> {
-        let cell = Cell { mean: self.mean(), spread: self.variance().sqrt() };
-        (self.count >= minimum && cell.spread > 1e-9).then_some(cell)
+        let cell = Cell { mean_s: self.mean(), std_dev_s: self.variance().sqrt() };
+        (self.count >= minimum && cell.std_dev_s > 1e-9).then_some(cell)
     }
 }
 
@@ -55,10 +55,10 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cell {
     /// Mean run time.
-    pub mean: f64,
+    pub mean_s: f64,
     /// δ: the standard deviation. The paper's variance, in seconds squared, makes a task
     /// of 40 s wait for hundreds of seconds; measured in docs/performance.md.
-    pub spread: f64,
+    pub std_dev_s: f64,
 }
 
 /// A machine's mean run time per type of task that it has finished.
@@ -186,8 +186,8 @@
 pub fn straggler_value(tasks: &[(f64, Cell)]) -> f64 {
     tasks
         .iter()
-        .filter(|(elapsed, cell)| *elapsed > cell.mean)
-        .map(|(elapsed, cell)| (elapsed - cell.mean) / cell.spread)
+        .filter(|(elapsed, cell)| *elapsed > cell.mean_s)
+        .map(|(elapsed, cell)| (elapsed - cell.mean_s) / cell.std_dev_s)
         .sum()
 }
 
@@ -206,7 +206,7 @@
 }
 
 /// What a restart is expected to gain, over the containers of all levels.
-pub fn gain(minimum: usize, remaining_s: f64, table: &[(Option<f64>, f64)]) -> f64 {
+pub fn expected_gain_s(minimum: usize, remaining_s: f64, table: &[(Option<f64>, f64)]) -> f64 {
     let all: f64 = table.iter().map(|(_, containers)| containers).sum();
     if all <= 0.0 {
         return 0.0;
@@ -216,7 +216,7 @@
 }
 
 /// How long the running task still takes: `EstEnd − now`.
-pub fn remaining(mean: f64, elapsed: f64) -> f64 {
+pub fn remaining_s(mean: f64, elapsed: f64) -> f64 {
     (mean - elapsed).abs()
 }
 
@@ -231,7 +231,7 @@
 }
 
 impl Speculation {
-    pub fn finished(&mut self, job: &Name, machine: &Name, run_s: f64) {
+    pub fn record_run(&mut self, job: &Name, machine: &Name, run_s: f64) {
         self.finished.entry(job.clone()).or_default().entry(machine.clone()).or_default().add(run_s);
     }
 
--- a/crates/core/src/term.rs
+++ b/crates/core/src/term.rs
@@ -216,7 +216,7 @@
             .filter_map(|name| {
                 self.progress.remove(&name);
                 let job = self.jobs.get(&name)?;
-                Some(Progress { job: name.to_string(), done: job.done_count, running: job.running })
+                Some(Progress { job: name.to_string(), done: job.done_count, running: job.running_tasks })
             })
             .collect()
     }
--- a/crates/core/src/users.rs
+++ b/crates/core/src/users.rs
@@ -67,8 +67,8 @@
     fn learn_item(&mut self, id: &str, item: Item) -> Option<Known> {
         match serde_json::from_value::<JobRecord>(item.value) {
             Ok(record) => {
-                let JobRecord { state, tasks, awaits } = record;
-                let known = Known { state, tasks, version: item.version, awaits: awaits.into() };
+                let JobRecord { state, tasks, dependencies } = record;
+                let known = Known { state, tasks, version: item.version, awaits: dependencies.into() };
                 if state != RecordState::Open {
                     self.users.progress.remove(id);
                 }
--- a/crates/core/src/users/cancel.rs
+++ b/crates/core/src/users/cancel.rs
@@ -53,7 +53,7 @@
             live.spec.awaits.clear();
             value = serde_json::to_value(live).expect("records always encode");
         }
-        let record = JobRecord::over(RecordState::Cancelled, tasks);
+        let record = JobRecord::terminal(RecordState::Cancelled, tasks);
         // Both keys are always written together, so they share their version.
         let txn = Txn::default()
             .when(job_key(&job), item.version)
--- a/crates/core/src/users/lookup.rs
+++ b/crates/core/src/users/lookup.rs
@@ -224,7 +224,7 @@
     pub(super) fn view(&self, id: &str, known: &Known) -> Answer {
         let (done, running) = match (known.state, self.term.as_ref().and_then(|term| term.jobs.get(id))) {
             (RecordState::Done, _) => (known.tasks, 0),
-            (_, Some(job)) => (job.done_count, job.running),
+            (_, Some(job)) => (job.done_count, job.running_tasks),
             _ => self.users.progress.get(id).copied().unwrap_or_default(),
         };
         let state = match known.state {
--- a/crates/core/src/users/submit.rs
+++ b/crates/core/src/users/submit.rs
@@ -16,7 +16,7 @@
 use crate::io::*;
 use crate::jobs::*;
 use crate::node::Node;
-use crate::quota::{Room, SLACK};
+use crate::quota::{QUOTA_TOLERANCE, Room};
 
 /// Dependencies looked for by one transaction, where the store takes so many conditions.
 const DEPENDENCIES_AT_ONCE: usize = 48;
@@ -100,8 +100,8 @@
             self.refuse(request, job, Answer::later(429, "too many unfinished jobs"));
             return;
         }
-        let record = JobRecord { state: RecordState::Open, tasks, awaits: awaits.clone() };
-        let live = LiveRecord { at_ms: self.env.now.wall_ms, cancelled: false, spec };
+        let record = JobRecord { state: RecordState::Open, tasks, dependencies: awaits.clone() };
+        let live = LiveRecord { submitted_ms: self.env.now.wall_ms, cancelled: false, spec };
         let txn = Txn::default()
             .when(job_key(&job), 0)
             .put(job_key(&job), serde_json::to_value(record).expect("records always encode"))
@@ -203,7 +203,7 @@
         return Err(Refusal::FitsNoMachineType);
     }
     let tasks = if spec.kind == Kind::Service { f64::from(spec.tasks) } else { 1.0 };
-    if need.cpus * tasks > team.cpus_max + SLACK || need.gpus * tasks > team.gpus_max + SLACK {
+    if need.cpus * tasks > team.cpus_max + QUOTA_TOLERANCE || need.gpus * tasks > team.gpus_max + QUOTA_TOLERANCE {
         return Err(Refusal::BeyondTeamLimit);
     }
     if spec.one_zone && spec.spread && spec.tasks > 1 {
@@ -221,7 +221,7 @@
 /// Whether a value of the store, and the transaction, hold the description; the answer depends on nothing but the settings,
 /// so that every node and every repeat gives the same.
 fn can_store(env: &Env, spec: &JobSpec) -> Result<(), Refusal> {
-    let live = LiveRecord { at_ms: env.now.wall_ms, cancelled: false, spec: spec.clone() };
+    let live = LiveRecord { submitted_ms: env.now.wall_ms, cancelled: false, spec: spec.clone() };
     let size = serde_json::to_vec(&live).expect("records always encode").len();
     let most = env.facts.value_bytes.min(TRANSACTION_BYTES / 2).saturating_sub(CANCELLATION_BYTES);
     if size > most { Err(Refusal::TooLarge(most)) } else { Ok(()) }
--- a/crates/core/tests/esplash.rs
+++ b/crates/core/tests/esplash.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rushyoke_core::speculate::{
-    Cell, Moments, Performance, gain, groups, levels, minimum_level, remaining, straggler_value,
+    Cell, Moments, Performance, expected_gain_s, groups, levels, minimum_level, remaining_s, straggler_value,
 };
 use rushyoke_testkit::{World, job};
 use rushyoke_wire::job::JobStatus;
@@ -57,7 +57,7 @@
     moments.add(10.0);
     let cell = moments.cell(5).expect("five tasks");
     // Squares of the differences: 4 + 4 over five tasks is a variance of 1.6.
-    assert!((cell.mean - 10.0).abs() < 1e-9 && (cell.spread - 1.6f64.sqrt()).abs() < 1e-9, "{cell:?}");
+    assert!((cell.mean_s - 10.0).abs() < 1e-9 && (cell.std_dev_s - 1.6f64.sqrt()).abs() < 1e-9, "{cell:?}");
     let mut same = Moments::default();
     (0..9).for_each(|_| same.add(7.0));
     assert_eq!(same.cell(5), None);
@@ -65,7 +65,7 @@
 
 #[test]
 fn the_straggler_value_sums_what_is_past_the_mean() {
-    let cell = Cell { mean: 10.0, spread: 2.0 };
+    let cell = Cell { mean_s: 10.0, std_dev_s: 2.0 };
     // 16 is three deviations past the mean, 11 half of one; 9 does not count.
     assert_eq!(straggler_value(&[(16.0, cell), (9.0, cell), (11.0, cell)]), 3.5);
     assert_eq!(straggler_value(&[(4.0, cell)]), 0.0);
@@ -89,11 +89,11 @@
 fn the_gain_counts_containers_from_the_minimum_level_up() {
     let table = [(Some(40.0), 10.0), (Some(20.0), 10.0), (Some(30.0), 20.0)];
     // 50 s to go: (10 * 30 + 20 * 20) / 40 = 17.5 s.
-    assert_eq!(gain(1, 50.0, &table), 17.5);
-    assert!(gain(1, 20.0, &table) < 0.0);
-    assert_eq!(gain(0, 50.0, &[]), 0.0);
+    assert_eq!(expected_gain_s(1, 50.0, &table), 17.5);
+    assert!(expected_gain_s(1, 20.0, &table) < 0.0);
+    assert_eq!(expected_gain_s(0, 50.0, &[]), 0.0);
     // Before the mean the rest of it is to go; past it, as long as it is past.
-    assert_eq!((remaining(40.0, 30.0), remaining(40.0, 100.0)), (10.0, 60.0));
+    assert_eq!((remaining_s(40.0, 30.0), remaining_s(40.0, 100.0)), (10.0, 60.0));
 }
 
 #[test]
