--- a/crates/core/src/awaits.rs
+++ b/crates/core/src/dependencies.rs
@@ -20,67 +20,67 @@
 use crate::term::Term;
 
 /// Records of awaited jobs that are read at a time.
-const READING: usize = 8;
-const RETRY: Duration = Duration::from_millis(400);
+const MAX_READS: usize = 8;
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// The more urgent of two deadlines.
-fn earlier(one: Option<u64>, other: Option<u64>) -> Option<u64> {
+fn earlier_deadline(one: Option<u64>, other: Option<u64>) -> Option<u64> {
     one.into_iter().chain(other).min()
 }
 
 impl Term {
     /// Takes note of what a job awaits. One that has begun has nothing to wait for.
-    pub fn link(&mut self, env: &mut Env, name: &Name) {
+    pub fn link_dependencies(&mut self, env: &mut Env, name: &Name) {
         let Some(job) = self.jobs.get_mut(name) else { return };
         let begun = !job.places.is_empty() || job.done_count > 0;
-        if job.cancelled || begun || job.spec.awaits.is_empty() {
+        if job.cancelled || begun || job.spec.dependencies.is_empty() {
             return;
         }
         job.from_ms = env.now.wall_ms;
-        let awaits: BTreeSet<Name> = job.spec.awaits.iter().map(|id| Name::from(id.as_str())).collect();
-        job.pending = awaits.clone();
+        let dependencies: BTreeSet<Name> = job.spec.dependencies.iter().map(|id| Name::from(id.as_str())).collect();
+        job.pending = dependencies.clone();
         let (priority, due_ms) = (job.priority, job.due_ms);
         let mut lost = false;
-        for dep in &awaits {
-            self.awaited.dependents.entry(dep.clone()).or_default().insert(name.clone());
-            match self.jobs.get(dep) {
-                Some(dep) => lost |= dep.cancelled,
+        for dependency in &dependencies {
+            self.awaited.dependents.entry(dependency.clone()).or_default().insert(name.clone());
+            match self.jobs.get(dependency) {
+                Some(dependency) => lost |= dependency.cancelled,
                 None => {
-                    self.awaited.unread.insert(dep.clone());
+                    self.awaited.unread.insert(dependency.clone());
                 }
             }
         }
-        self.raise(awaits, priority, due_ms);
+        self.raise_priorities(dependencies, priority, due_ms);
         if lost {
             self.orphan(env, vec![name.clone()]);
         }
     }
 
     /// Jobs take the highest priority and the most urgent deadline of those that need them.
-    fn raise(&mut self, awaits: BTreeSet<Name>, priority: Priority, due_ms: Option<u64>) {
-        let mut left: Vec<Name> = awaits.into_iter().collect();
+    fn raise_priorities(&mut self, dependencies: BTreeSet<Name>, priority: Priority, due_ms: Option<u64>) {
+        let mut left: Vec<Name> = dependencies.into_iter().collect();
         while let Some(name) = left.pop() {
             let Some(job) = self.jobs.get_mut(&name) else { continue };
-            let sooner = earlier(job.due_ms, due_ms) != job.due_ms;
+            let sooner = earlier_deadline(job.due_ms, due_ms) != job.due_ms;
             if job.priority >= priority && !sooner {
                 continue;
             }
             job.priority = job.priority.max(priority);
-            job.due_ms = earlier(job.due_ms, due_ms);
+            job.due_ms = earlier_deadline(job.due_ms, due_ms);
             left.extend(job.pending.iter().cloned());
         }
     }
 
     /// Takes back what cancelled jobs gave to those that they needed.
-    fn lower(&mut self, awaits: BTreeSet<Name>) {
-        let mut left: Vec<Name> = awaits.into_iter().collect();
+    fn recompute_priorities(&mut self, dependencies: BTreeSet<Name>) {
+        let mut left: Vec<Name> = dependencies.into_iter().collect();
         while let Some(name) = left.pop() {
             let Some(job) = self.jobs.get(&name).filter(|job| !job.cancelled) else { continue };
             let (mut priority, mut due_ms) = (job.spec.priority, job.own_due_ms());
             let dependents = self.awaited.dependents.get(&name).into_iter().flatten();
             for dependent in dependents.filter_map(|id| self.jobs.get(id)).filter(|job| !job.cancelled) {
                 priority = priority.max(dependent.priority);
-                due_ms = earlier(due_ms, dependent.due_ms);
+                due_ms = earlier_deadline(due_ms, dependent.due_ms);
             }
             if (priority, due_ms) == (job.priority, job.due_ms) {
                 continue;
@@ -93,8 +93,8 @@
     }
 
     /// A job has ended durably: those that await it go on, or end with it.
-    pub fn dependency_over(&mut self, env: &mut Env, dep: &Name, state: RecordState) {
-        let Some(dependents) = self.awaited.dependents.remove(dep) else {
+    pub fn dependency_ended(&mut self, env: &mut Env, dependency: &Name, state: RecordState) {
+        let Some(dependents) = self.awaited.dependents.remove(dependency) else {
             return;
         };
         if state == RecordState::Cancelled {
@@ -103,7 +103,7 @@
         }
         for name in dependents {
             let Some(job) = self.jobs.get_mut(&name) else { continue };
-            job.pending.remove(dep);
+            job.pending.remove(dependency);
             if !job.is_blocked() {
                 tracing::debug!(job = &*name, "all that it awaits is done");
                 job.from_ms = env.now.wall_ms;
@@ -125,7 +125,7 @@
             self.stop_cancelled(env, &name);
             left.extend(self.awaited.dependents.remove(&name).into_iter().flatten());
         }
-        self.lower(needed);
+        self.recompute_priorities(needed);
     }
 
     /// A user cancelled a job: nothing of it starts any more, all that is there must go, and so must
@@ -133,55 +133,55 @@
     pub fn job_cancelled(&mut self, env: &mut Env, name: &Name) {
         self.stop_cancelled(env, name);
         let needed = self.jobs.get(name).map(|job| job.pending.clone()).unwrap_or_default();
-        self.lower(needed);
-        self.dependency_over(env, name, RecordState::Cancelled);
+        self.recompute_priorities(needed);
+        self.dependency_ended(env, name, RecordState::Cancelled);
     }
 
     /// A job is forgotten, and awaits nothing any more.
-    pub fn unlink(&mut self, job: &Job) {
-        for dep in &job.spec.awaits {
-            if let Some(dependents) = self.awaited.dependents.get_mut(dep.as_str()) {
+    pub fn unlink_dependencies(&mut self, job: &Job) {
+        for dependency in &job.spec.dependencies {
+            if let Some(dependents) = self.awaited.dependents.get_mut(dependency.as_str()) {
                 dependents.remove(&job.id);
                 if dependents.is_empty() {
-                    self.awaited.dependents.remove(dep.as_str());
-                    self.awaited.unread.remove(dep.as_str());
+                    self.awaited.dependents.remove(dependency.as_str());
+                    self.awaited.unread.remove(dependency.as_str());
                 }
             }
         }
     }
 
     /// Reads how awaited jobs ended that are not in the table.
-    pub fn read_awaited(&mut self, env: &mut Env) {
+    pub fn read_dependencies(&mut self, env: &mut Env) {
         let now = env.steady();
         if self.awaited.unread.is_empty() || self.awaited.retry.is_some_and(|from| from > now) {
             return;
         }
-        while self.awaited.reading.len() < READING {
-            let Some(dep) = self.awaited.unread.pop_first() else { return };
-            if self.awaited.reading.insert(dep.clone()) {
-                let op = StoreOp::Get(job_key(&dep));
-                env.store(Purpose::Load(LoadCall::Awaited(dep)), Urgency::High, op);
+        while self.awaited.reading.len() < MAX_READS {
+            let Some(dependency) = self.awaited.unread.pop_first() else { return };
+            if self.awaited.reading.insert(dependency.clone()) {
+                let op = StoreOp::Get(job_key(&dependency));
+                env.store(Purpose::Load(LoadCall::Awaited(dependency)), Urgency::High, op);
             }
         }
     }
 
-    pub fn awaited_read(&mut self, env: &mut Env, dep: Name, outcome: Outcome<StoreAnswer>) {
-        self.awaited.reading.remove(&dep);
+    pub fn dependency_read_outcome(&mut self, env: &mut Env, dependency: Name, outcome: Outcome<StoreAnswer>) {
+        self.awaited.reading.remove(&dependency);
         if let Outcome::Answered(StoreAnswer::Item(Some(item))) = outcome
             && let Ok(record) = serde_json::from_value::<JobRecord>(item.value)
         {
             if record.state != RecordState::Open {
-                self.dependency_over(env, &dep, record.state);
+                self.dependency_ended(env, &dependency, record.state);
                 return;
             }
             // It is in the table by now, and tells of its end itself.
-            if self.jobs.contains_key(&dep) {
+            if self.jobs.contains_key(&dependency) {
                 return;
             }
         }
-        if self.awaited.dependents.contains_key(&dep) {
-            self.awaited.unread.insert(dep);
-            self.awaited.retry = Some(env.steady() + RETRY);
+        if self.awaited.dependents.contains_key(&dependency) {
+            self.awaited.unread.insert(dependency);
+            self.awaited.retry = Some(env.steady() + RETRY_DELAY);
         }
     }
 }
--- a/crates/core/src/awaits/state.rs
+++ b/crates/core/src/dependencies/state.rs
@@ -7,7 +7,7 @@
 
 /// Awaited jobs of a term.
 #[derive(Default)]
-pub(crate) struct Awaited {
+pub(crate) struct DependencyState {
     /// The jobs that await each job.
     pub(super) dependents: BTreeMap<Name, BTreeSet<Name>>,
     /// Awaited jobs that are not unfinished, as far as is known: how they ended must be read.
--- a/crates/core/src/env.rs
+++ b/crates/core/src/env.rs
@@ -60,7 +60,7 @@
         self.out.push(Output::Order { call, addr, orders, probe });
     }
 
-    pub fn relay(&mut self, label: String, relay: rushyoke_wire::peer::Relay) {
+    pub fn relay(&mut self, label: String, relay: rushyoke_wire::peer::RelayRequest) {
         let call = self.call(Purpose::Relay);
         self.out.push(Output::Relay { call, label, relay });
     }
--- a/crates/core/src/failover.rs
+++ b/crates/core/src/failover.rs
@@ -19,14 +19,14 @@
 
 /// What speaks against a machine in a zone on probation for careful work, in seconds, after a first loss:
 /// less than most images take to fetch. It grows with the square of the zone's flap factor.
-const PROBATION_COST_S: f64 = 4.0;
+const PROBATION_PENALTY_S: f64 = 4.0;
 /// What one tier counts for in the choice of the tasks that make way, in CPU seconds.
-const TIER_WEIGHT: f64 = 10_000.0;
+const TIER_WEIGHT_CPU_S: f64 = 10_000.0;
 /// Bytes of the record of zones that stay unused.
-const RECORD_SPARE: usize = 256;
+const RECORD_RESERVE_BYTES: usize = 256;
 
 /// Adds a machine to what is seen of its zone.
-pub(crate) fn note_machine(view: &mut ZoneView, machine: &Machine, overdue: bool, in_time: bool) {
+pub(crate) fn observe_machine(view: &mut ZoneView, machine: &Machine, overdue: bool, in_time: bool) {
     let unreachable = machine.failed_calls() > 0;
     // Its calls may fail while a controller near it hands its reports on, and our answers back.
     let deaf = unreachable && !machine.hears_answers();
@@ -48,7 +48,7 @@
 
 impl Term {
     /// Judges the zones by a look at all machines that has just been made.
-    pub fn judge_zones(&mut self, env: &Env, mut zones: BTreeMap<String, ZoneView>, settling: bool) {
+    pub fn update_zone_states(&mut self, env: &Env, mut zones: BTreeMap<String, ZoneView>, settling: bool) {
         let now = env.steady();
         for zone in &self.zones {
             zones.entry(zone.clone()).or_default();
@@ -77,11 +77,11 @@
         if let Some(evacuation) = &observation.evacuated {
             log_evacuation(failover, evacuation);
         }
-        self.apply_verdicts(now);
+        self.apply_zone_states(now);
     }
 
     /// Tells the machines what was found of their zones.
-    fn apply_verdicts(&mut self, now: Instant) {
+    fn apply_zone_states(&mut self, now: Instant) {
         let Some(failover) = &mut self.failover else { return };
         let mut verdicts: BTreeMap<String, (Access, bool)> = BTreeMap::new();
         for machine in self.machines.values_mut() {
@@ -99,7 +99,7 @@
     // What follows from the verdicts.
 
     /// Whether a zone's machines are out of reach: new ones would be too. The only place that tells.
-    pub fn zone_is_cut(&self, zone: &str) -> bool {
+    pub fn zone_is_unreachable(&self, zone: &str) -> bool {
         match &self.failover {
             Some(failover) => matches!(failover.state(zone), ZoneState::Suspect | ZoneState::Lost),
             None => self.survey.sampled_cut().contains(zone),
@@ -117,12 +117,12 @@
     }
 
     /// Whether any zone is not healthy: no time to tidy up.
-    pub fn zones_unhealthy(&self) -> bool {
+    pub fn any_zone_unhealthy(&self) -> bool {
         self.failover.as_ref().is_some_and(|failover| !failover.all_healthy())
     }
 
     /// Whether placement goes by tiers, since a zone is being evacuated.
-    pub fn evacuates(&self) -> bool {
+    pub fn is_evacuating(&self) -> bool {
         self.failover.as_ref().is_some_and(Failover::evacuates)
     }
 
@@ -135,18 +135,18 @@
 
     /// What stopping a task of a job counts for beside the work that is lost, in CPU seconds: while a zone is
     /// evacuated the latest tier makes way first, though tasks of an earlier one have just begun.
-    pub fn tier_weight(&self, job: &Job) -> f64 {
+    pub fn tier_preemption_cost(&self, job: &Job) -> f64 {
         match &self.failover {
             Some(failover) if failover.evacuates() => {
-                (failover.settings().tier_count() - self.tier_of(job)) as f64 * TIER_WEIGHT
+                (failover.settings().tier_count() - self.tier_of(job)) as f64 * TIER_WEIGHT_CPU_S
             }
             _ => 0.0,
         }
     }
 
     /// Whether a job passes over room that is kept for another, since it is of an earlier tier.
-    pub fn passes_before(&self, job: &Name, other: &Name) -> bool {
-        if !self.evacuates() {
+    pub fn precedes_in_evacuation(&self, job: &Name, other: &Name) -> bool {
+        if !self.is_evacuating() {
             return false;
         }
         let (Some(job), Some(other)) = (self.jobs.get(job), self.jobs.get(other)) else { return false };
@@ -154,10 +154,10 @@
     }
 
     /// Whether all zones where the job's next task may go take no work: it waits in nobody's way.
-    pub fn is_bound_to_closed(&self, now: Instant, job: &Job) -> bool {
+    pub fn is_bound_to_closed_zones(&self, now: Instant, job: &Job) -> bool {
         let Some(failover) = self.failover.as_ref().filter(|failover| !failover.all_open()) else { return false };
         let closed = |zone: &String| matches!(failover.access(now, zone), Access::Closed | Access::Paused);
-        self.bound_to(job).is_some_and(|zones| zones.iter().all(closed))
+        self.allowed_zones(job).is_some_and(|zones| zones.iter().all(closed))
     }
 
     /// Whether a returning zone takes so many CPUs now.
@@ -167,17 +167,17 @@
     }
 
     /// What speaks against a machine for work that keeps off zones on probation, in seconds.
-    pub fn probation_cost_s(&self, now: Instant, job: &Job, machine: &Machine) -> f64 {
+    pub fn probation_penalty_s(&self, now: Instant, job: &Job, machine: &Machine) -> f64 {
         let Some(failover) = self.failover.as_ref().filter(|_| machine.zone_unhealthy) else { return 0.0 };
         if !failover.settings().is_careful(self.tier_of(job)) {
             return 0.0;
         }
         let factor = failover.zone(&machine.zone).map_or(1.0, |zone| zone.flap_factor(now, failover.settings()));
-        PROBATION_COST_S * factor * factor
+        PROBATION_PENALTY_S * factor * factor
     }
 
     /// Whether what runs on a machine will want room elsewhere when its lease ends.
-    pub fn will_lose_work(&self, machine: &Machine) -> bool {
+    pub fn will_lose_tasks(&self, machine: &Machine) -> bool {
         let cut_off = machine.suspect && self.parted(machine);
         let lost = self.zone_is_lost(&machine.zone) && (machine.suspect || machine.failed_calls() > 0);
         !machine.leaving && (cut_off || lost)
@@ -186,7 +186,7 @@
     /// Whether a silent machine is kept with its zone: for a while beyond its lease, since the zone may be back
     /// before a new machine would have booted, and for a while after the return, since its worker may still
     /// wait for an answer that was lost.
-    pub fn kept_with_zone(&self, now: Instant, machine: &Machine, lease_end: Instant) -> bool {
+    pub fn is_kept_with_zone(&self, now: Instant, machine: &Machine, lease_end: Instant) -> bool {
         let Some(failover) = &self.failover else { return false };
         let Some(zone) = failover.zone(&machine.zone) else { return false };
         let keep = failover.settings().keep_machines;
@@ -201,7 +201,7 @@
 
     /// Whether a task has begun anew because of zones as often as its class allows: then the end of a lease
     /// is not enough, and it waits for a report of its machine, or for the machine's confirmed end.
-    pub fn waits_for_word(&self, key: &TaskKey, zone: &str) -> bool {
+    pub fn needs_confirmed_stop(&self, key: &TaskKey, zone: &str) -> bool {
         let Some(failover) = &self.failover else { return false };
         let Some(job) = self.jobs.get(&key.0).filter(|job| !job.cancelled) else { return false };
         let before = job.zone_reruns.get(&key.1).copied().unwrap_or(0);
@@ -210,7 +210,7 @@
 
     /// A task is about to lose its place since its machine's lease or the machine has ended: if its zone is
     /// not healthy, that counts as begun anew because of the zone.
-    pub fn displaced(&mut self, key: &TaskKey, machine: &Name) {
+    pub fn note_displaced(&mut self, key: &TaskKey, machine: &Name) {
         let Some(zone) = self.machines.get(machine).map(|machine| machine.zone.clone()) else { return };
         let Some(failover) = self.failover.as_ref().filter(|f| f.state(&zone) != ZoneState::Healthy) else { return };
         let returning = failover.state(&zone) == ZoneState::Returning;
@@ -228,7 +228,7 @@
     }
 
     /// A task has a new place.
-    pub fn placed_in_zone(&mut self, now: Instant, key: &TaskKey, machine: &Name) {
+    pub fn note_placed_in_zone(&mut self, now: Instant, key: &TaskKey, machine: &Name) {
         let Some(failover) = &mut self.failover else { return };
         failover.task_placed(now, key);
         if let (Some(machine), Some(job)) = (self.machines.get(machine), self.jobs.get(&key.0)) {
@@ -237,7 +237,7 @@
     }
 
     /// A task was seen running for the first time.
-    pub fn runs_in_zone(&mut self, machine: &Name) {
+    pub fn note_running_in_zone(&mut self, machine: &Name) {
         if let (Some(failover), Some(machine)) = (&mut self.failover, self.machines.get(machine)) {
             failover.start_confirmed(&machine.zone);
         }
@@ -245,11 +245,11 @@
 
     // The record.
 
-    pub fn zones_unwritten(&self) -> bool {
+    pub fn zone_record_is_unwritten(&self) -> bool {
         self.failover.as_ref().is_some_and(Failover::is_unwritten)
     }
 
-    pub fn zones_not_written(&mut self) {
+    pub fn zone_record_not_written(&mut self) {
         if let Some(failover) = &mut self.failover {
             failover.not_written();
         }
@@ -257,14 +257,14 @@
 
     /// Writes what is known of zones. Only beside a write of the last segment, which keeps a late copy of
     /// this transaction from being applied.
-    pub fn write_zones(&mut self, env: &Env, txn: &mut Txn, batch: &mut Batch) {
+    pub fn write_zone_record(&mut self, env: &Env, txn: &mut Txn, batch: &mut Batch) {
         let Some(failover) = self.failover.as_mut().filter(|failover| batch.segment && failover.is_unwritten()) else {
             return;
         };
         if txn.writes.len() >= env.facts.txn_ops {
             return;
         }
-        let room = env.facts.value_bytes.saturating_sub(RECORD_SPARE);
+        let room = env.facts.value_bytes.saturating_sub(RECORD_RESERVE_BYTES);
         let record = failover.record(env.steady(), env.now.wall_ms, room);
         let value = serde_json::to_value(record).expect("records always encode");
         *txn = std::mem::take(txn).put(rushyoke_failover::RECORD_KEY, value);
@@ -272,7 +272,7 @@
     }
 
     /// Takes over what an earlier leader knew of zones.
-    pub fn zones_read(&mut self, env: &Env, item: Option<Item>) {
+    pub fn load_zone_record(&mut self, env: &Env, item: Option<Item>) {
         let (Some(failover), Some(item)) = (&mut self.failover, item) else { return };
         match serde_json::from_value(item.value) {
             Ok(record) => failover.adopt(&record, env.steady(), env.now.wall_ms),
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -22,7 +22,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-use rushyoke_wire::cloud::{Listed, Phase as CloudPhase};
+use rushyoke_wire::cloud::{ListedMachine, Phase as CloudPhase};
 use serde_json::value::RawValue;
 
 use crate::env::Env;
@@ -90,7 +90,7 @@
             return;
         };
         for key in machine.places.clone() {
-            self.displaced(&key, name);
+            self.note_displaced(&key, name);
             self.place_empty(env, &key, now);
         }
         self.machines.remove(name);
@@ -98,12 +98,12 @@
             failover.forget_drain(name);
         }
         self.destination_gone(name);
-        self.renting.gone(name, GONE_KEPT.max(GONE_PER_MACHINE * self.machines.len()));
+        self.renting.mark_gone(name, GONE_KEPT.max(GONE_PER_MACHINE * self.machines.len()));
         self.place_due = true;
     }
 
     /// The cloud's list names this machine.
-    pub fn machine_listed(&mut self, env: &mut Env, listed: &Listed) {
+    pub fn machine_listed(&mut self, env: &mut Env, listed: &ListedMachine) {
         let now = env.steady();
         let name = Name::from(listed.id.as_str());
         if self.renting.is_gone(&name) {
@@ -113,7 +113,7 @@
             if self.machines.contains_key(&name) {
                 tracing::info!(machine = &*name, "failed, says the cloud");
                 self.machine_gone(env, &name);
-                self.renting.release_later(name);
+                self.renting.queue_release(name);
             }
             return;
         }
--- a/crates/core/src/fleet/reports.rs
+++ b/crates/core/src/fleet/reports.rs
@@ -266,7 +266,7 @@
         tracing::info!(machine = &**name, session = machine.session, tasks = machine.places.len(), "new session");
         for key in machine.places.clone() {
             if self.jobs[&key.0].places[&key.1].sent {
-                self.displaced(&key, name);
+                self.note_displaced(&key, name);
                 self.place_empty(env, &key, now);
             }
         }
--- a/crates/core/src/fleet/silence.rs
+++ b/crates/core/src/fleet/silence.rs
@@ -11,7 +11,7 @@
 use super::survey::{ASKED_ALONE, SURVEY_FROM, SURVEYED};
 use super::{LATEST_REPORT, Machine, fence_by_report};
 use crate::env::Env;
-use crate::failover::note_machine;
+use crate::failover::observe_machine;
 use crate::jobs::{Name, TaskKey};
 use crate::term::Term;
 
@@ -82,7 +82,7 @@
         };
         self.survey(env, asked, findings.quiet, findings.all);
         let settling = now.duration_since(self.since) < fence_by_report(env.facts.report) + PROBE * 2;
-        self.judge_zones(env, std::mem::take(&mut findings.zones), settling);
+        self.update_zone_states(env, std::mem::take(&mut findings.zones), settling);
         if !spared {
             findings.silent.iter().for_each(|name| self.give_up(env, name));
         }
@@ -140,7 +140,12 @@
             }
             if judged && machine.release_sent.is_none() {
                 let in_time = machine.reports_to_us(now, env.facts.report) && !machine.suspect;
-                note_machine(findings.zones.entry(machine.zone.clone()).or_default(), machine, quiet > late, in_time);
+                observe_machine(
+                    findings.zones.entry(machine.zone.clone()).or_default(),
+                    machine,
+                    quiet > late,
+                    in_time,
+                );
             }
         }
         findings
@@ -183,7 +188,7 @@
         let machine = &self.machines[name];
         let spared_until = self.spared_until(env, machine);
         let cut_off = self.parted(machine) && now < spared_until;
-        if cut_off || self.kept_with_zone(now, machine, spared_until) {
+        if cut_off || self.is_kept_with_zone(now, machine, spared_until) {
             return;
         }
         let machine = self.machines.get_mut(name).expect("listed");
@@ -214,7 +219,7 @@
         let now = env.steady();
         let machine = &self.machines[name];
         let (waiting, lost): (Vec<TaskKey>, Vec<TaskKey>) =
-            machine.places.iter().cloned().partition(|key| self.waits_for_word(key, &machine.zone));
+            machine.places.iter().cloned().partition(|key| self.needs_confirmed_stop(key, &machine.zone));
         let noted = machine.lapsed == Some(machine.session);
         if lost.is_empty() && noted {
             return;
@@ -225,7 +230,7 @@
         machine.unresolved.clear();
         machine.exited.clear();
         for key in lost {
-            self.displaced(&key, name);
+            self.note_displaced(&key, name);
             self.place_empty(env, &key, now);
         }
     }
--- a/crates/core/src/fleet/survey.rs
+++ b/crates/core/src/fleet/survey.rs
@@ -94,7 +94,7 @@
 
     /// Whether a silent machine is likely cut off, with many others, and not dead.
     pub fn parted(&self, machine: &Machine) -> bool {
-        machine.probes_failed > 0 && (self.survey.parted_at.is_some() || self.zone_is_cut(&machine.zone))
+        machine.probes_failed > 0 && (self.survey.parted_at.is_some() || self.zone_is_unreachable(&machine.zone))
     }
 
     /// When the lease of a machine that is cut off has likely ended. An earlier leader that is
@@ -114,7 +114,7 @@
     /// silent it may be this node's network. Each mistake would be a hundred machines.
     pub fn fleet_unclear(&self, env: &Env) -> bool {
         let asking = self.survey.asked.is_some_and(|at| env.steady().duration_since(at) < SURVEY_ANSWERED);
-        (self.inherited && !self.renting.listed) || self.survey.most || asking
+        (self.inherited && !self.renting.fleet_listed) || self.survey.most || asking
     }
 
     /// Whether many machines are silent or a sample is asked: no time to move work.
--- a/crates/core/src/fleet/tasks.rs
+++ b/crates/core/src/fleet/tasks.rs
@@ -29,7 +29,7 @@
                 }
             }
             TaskState::Exited => {
-                self.task_exited(env, key, report.why.unwrap_or(Cause::Error));
+                self.task_exited(env, key, report.cause.unwrap_or(Cause::Error));
                 return;
             }
         }
@@ -42,7 +42,7 @@
             self.move_seen(now, key, report.state);
             if began {
                 let machine = self.jobs[&key.0].places[&key.1].machine.clone();
-                self.runs_in_zone(&machine);
+                self.note_running_in_zone(&machine);
             }
         }
     }
@@ -64,12 +64,12 @@
             }
             Cause::Stopped => {}
             Cause::Error => again = self.failed(now, key, &place),
-            Cause::NoRoom => {
+            Cause::InsufficientResources => {
                 let machine = self.machines.get_mut(&place.machine).expect("placed");
                 machine.full_until = Some(now + Duration::from_secs(2));
             }
-            Cause::Busy => again = now + Duration::from_secs(2),
-            Cause::Unknown => again = now + Duration::from_secs(5),
+            Cause::AttemptConflict => again = now + Duration::from_secs(2),
+            Cause::UnknownTask => again = now + Duration::from_secs(5),
         }
         tracing::debug!(job = &*key.0, task = key.1, machine = &*place.machine, ?why, "exited");
         self.place_empty(env, key, again);
@@ -199,7 +199,7 @@
                 && place.running.is_some()
                 && (owner.mean_run_s - ran).max(0.0) + 1.0 < left.as_secs_f64();
             if !finishes && place.stop.is_none() {
-                let saves = spec.checkpoint_s > 0.0 && place.running.is_some();
+                let saves = spec.checkpoint_interval_s > 0.0 && place.running.is_some();
                 let grace = if saves { spec.save_s } else { 0.0 };
                 self.stop_task(env, &job, task, grace);
             }
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -4,7 +4,7 @@
 
 use rushyoke_wire::cloud::{Listing, MachineType, Rental};
 use rushyoke_wire::job::JobSpec;
-use rushyoke_wire::peer::{PeerRequest, PeerResponse, Relay, RelayResponse};
+use rushyoke_wire::peer::{PeerRequest, PeerResponse, RelayRequest, RelayResponse};
 use rushyoke_wire::store::{Changes, Item, Page, Txn};
 use rushyoke_wire::worker::{Orders, Report};
 use serde_json::value::RawValue;
@@ -185,7 +185,7 @@
         /// The request to answer.
         req: Req,
         /// The reports.
-        relay: Relay,
+        relay: RelayRequest,
     },
     /// The leader answered reports that were handed on.
     RelayResponse {
@@ -314,6 +314,6 @@
         /// The other node's label.
         label: String,
         /// The reports.
-        relay: Relay,
+        relay: RelayRequest,
     },
 }
--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -251,7 +251,7 @@
     pub fn bytes(&self) -> usize {
         JOB_BYTES
             + self.done.len() * 8
-            + self.spec.awaits.len() * AWAIT_BYTES
+            + self.spec.dependencies.len() * AWAIT_BYTES
             + (self.places.len() + self.returned.len()) * PLACE_BYTES
     }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -4,8 +4,8 @@
 
 #![warn(missing_docs)]
 
-mod awaits;
 mod calls;
+mod dependencies;
 mod election;
 mod env;
 mod facts;
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -10,7 +10,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rushyoke_wire::cloud::MachineType;
-use rushyoke_wire::worker::{Elsewhere, Report};
+use rushyoke_wire::worker::{Report, ReportRedirect};
 use serde_json::value::RawValue;
 
 use crate::calls::{ElectionCall, LoadCall, Purpose};
@@ -22,7 +22,7 @@
 use crate::io::*;
 use crate::relay::state::{Relaying, ReportOutcome, no_tasks};
 use crate::term::Term;
-use crate::users::state::Users;
+use crate::users::state::UserRequests;
 use peers::Peer;
 
 /// A controller as a state machine.
@@ -30,7 +30,7 @@
     pub(crate) env: Env,
     pub(crate) election: Election,
     pub(crate) term: Option<Term>,
-    pub(crate) users: Users,
+    pub(crate) users: UserRequests,
     pub(crate) store: StoreHealth,
     incarnation: u64,
     peers: BTreeMap<String, Peer>,
@@ -105,7 +105,7 @@
                 next_call: 0,
             },
             term: None,
-            users: Users::default(),
+            users: UserRequests::default(),
             store: StoreHealth::default(),
             incarnation: seed,
             peers,
@@ -162,7 +162,7 @@
     fn tick(&mut self) {
         self.election_tick();
         self.probe_store();
-        self.users_tick();
+        self.expire_user_requests();
         self.types_tick();
         self.peers_tick();
         self.relay_tick();
@@ -197,7 +197,7 @@
         }
         match purpose {
             Purpose::Election(leader) => self.election_outcome(leader, outcome),
-            Purpose::User(user) => self.user_outcome(user, outcome),
+            Purpose::User(user) => self.user_call_outcome(user, outcome),
             Purpose::Load(load) => {
                 if let Some(term) = &mut self.term {
                     term.loaded(&mut self.env, load, outcome);
@@ -249,7 +249,7 @@
             }
             Some(Purpose::Rent(rent)) => {
                 if let Some(term) = &mut self.term {
-                    term.rented(&mut self.env, rent, outcome);
+                    term.cloud_call_outcome(&mut self.env, rent, outcome);
                 }
             }
             _ => {}
@@ -295,7 +295,7 @@
             ReportOutcome::Elsewhere(report) => {
                 if !self.relay(req, report, unread) {
                     let report_to = self.where_to();
-                    self.env.answer(req, Answer::json(421, &Elsewhere { report_to }));
+                    self.env.answer(req, Answer::json(421, &ReportRedirect { report_to }));
                 }
             }
         }
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -36,7 +36,7 @@
             term.jobs.len() >= self.env.policy.max_jobs || bytes >= self.env.facts.job_bytes
         });
         if token.is_some() {
-            self.users.full = full;
+            self.users.job_limit_reached = full;
         }
         for (label, peer) in &mut self.peers {
             if peer.waiting {
@@ -44,15 +44,20 @@
             }
             peer.asked = Some(now);
             peer.waiting = true;
-            let request = PeerRequest { label: self.env.facts.label.clone(), token, full, progress: progress.clone() };
+            let request = PeerRequest {
+                label: self.env.facts.label.clone(),
+                token,
+                job_limit_reached: full,
+                progress: progress.clone(),
+            };
             self.env.out.push(Output::Peer { label: label.clone(), request });
         }
     }
 
     pub(super) fn peer_requested(&mut self, req: Req, request: PeerRequest) {
         if request.token.is_some() {
-            self.users.take_progress(request.progress, self.env.policy.known_jobs);
-            self.users.full = request.full;
+            self.users.update_progress(request.progress, self.env.policy.known_jobs);
+            self.users.job_limit_reached = request.job_limit_reached;
         }
         let response = PeerResponse {
             label: self.env.facts.label.clone(),
@@ -60,7 +65,7 @@
             store_ok: self.store.last_ok.is_some() && !self.store.down(self.env.steady()),
             token: self.token(),
             relays_to: self.relays_to(),
-            busy: (self.busy * 100.0) as u8,
+            busy_percent: (self.busy * 100.0) as u8,
         };
         let body = rushyoke_wire::peer::encode(&response);
         self.env.answer(req, Answer { status: 200, body, retry_after_s: None });
@@ -123,7 +128,8 @@
         let followers = self.peers.iter().filter_map(|(label, peer)| {
             let (asked, response) = peer.told.as_ref()?;
             let fresh = now.duration_since(*asked) < PEER_PERIOD * 2;
-            (fresh && response.relays_to.is_some() && response.relays_to == token).then_some((response.busy, label))
+            (fresh && response.relays_to.is_some() && response.relays_to == token)
+                .then_some((response.busy_percent, label))
         });
         let (busy, label) = followers.min()?;
         (self.busy >= BUSY && self.busy * 100.0 >= f64::from(busy) + MUCH_LESS).then(|| label.clone())
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -60,7 +60,7 @@
             let count = self.place_round(env.steady(), &round, ranked, &mut reserve);
             placed += count;
             // A sample of the machines is filled: while a zone is evacuated no later tier goes before the rest.
-            if count == 0 || way == Way::Filling && !self.evacuates() {
+            if count == 0 || way == Way::Filling && !self.is_evacuating() {
                 break;
             }
         }
@@ -125,7 +125,7 @@
             return false;
         }
         let ordinary = !target.spot;
-        if round.borrows && !self.evacuates() && !self.may_borrow(now, name) {
+        if round.borrows && !self.is_evacuating() && !self.may_borrow(now, name) {
             return false;
         }
         if ordinary {
@@ -165,7 +165,7 @@
         }
         tracing::debug!(job = &**name, task, machine = &**machine, attempt, "placed");
         self.task_placed(now, &(name.clone(), task), machine);
-        self.placed_in_zone(now, &(name.clone(), task), machine);
+        self.note_placed_in_zone(now, &(name.clone(), task), machine);
         let turn = crate::records::state::Turn::of(&self.jobs[name].spec);
         self.records.changed((name.clone(), task), Some(turn));
     }
@@ -244,7 +244,7 @@
         let kind = if job.spec.spot && !machine.spot { 3.0 } else { 0.0 };
         let doubt = if job.failed_on.contains(&machine.name) { 60.0 } else { 0.0 };
         let slow = if machine.straggler { 30.0 } else { 0.0 };
-        let probation = self.probation_cost_s(env.steady(), job, machine);
+        let probation = self.probation_penalty_s(env.steady(), job, machine);
         self.fetch_s(env, job, machine) + crowding + hosting + mates + retiring + kind + doubt + slow + probation
     }
 
@@ -295,7 +295,7 @@
         let mut room = self.free_room(machine);
         if let Some(claim) = &machine.claim
             && claim.job != *job
-            && !self.passes_before(job, &claim.job)
+            && !self.precedes_in_evacuation(job, &claim.job)
         {
             room.sub(claim.room);
         }
--- a/crates/core/src/place/pass.rs
+++ b/crates/core/src/place/pass.rs
@@ -163,7 +163,7 @@
         };
         for turn in turns {
             let job = &self.jobs[&turn.job];
-            if pass.is_held(&job.spec.team, turn.priority) || self.is_bound_to_closed(now, job) {
+            if pass.is_held(&job.spec.team, turn.priority) || self.is_bound_to_closed_zones(now, job) {
                 continue;
             }
             if pass.left == 0 || pass.misses > PASS_MISSES {
@@ -191,7 +191,7 @@
         };
         Turn {
             job: job.id.clone(),
-            tier: if self.evacuates() { self.tier_of(job) } else { 0 },
+            tier: if self.is_evacuating() { self.tier_of(job) } else { 0 },
             class: if job.slice > 0 { class.min(Class::Guaranteed) } else { class },
             starved: job.slice > 0,
             priority: job.priority,
--- a/crates/core/src/preempt.rs
+++ b/crates/core/src/preempt.rs
@@ -39,7 +39,7 @@
 /// waits for others anyway loses little. So the stops fall on few jobs.
 fn lost_s(now: Instant, job: &Job, place: &Place) -> f64 {
     let ran = place.running.map_or(0.0, |t| now.duration_since(t).as_secs_f64());
-    let lost = if job.spec.checkpoint_s > 0.0 { ran % job.spec.checkpoint_s } else { ran };
+    let lost = if job.spec.checkpoint_interval_s > 0.0 { ran % job.spec.checkpoint_interval_s } else { ran };
     let whole = if job.waiting() == 0 { DELAY } else { 0.0 };
     (lost + whole + 1.0) * job.spec.cpus + if job.rescued { RESCUED } else { 0.0 }
 }
@@ -86,7 +86,7 @@
             let urgent = self.jobs[name].spec.priority == Priority::Production;
             for (victim, task) in plan.victims {
                 let spec = &self.jobs[&victim].spec;
-                let grace = if urgent || spec.checkpoint_s == 0.0 { 0.0 } else { spec.save_s };
+                let grace = if urgent || spec.checkpoint_interval_s == 0.0 { 0.0 } else { spec.save_s };
                 self.stop_task(env, &victim, task, grace);
             }
             let until = env.steady() + CLAIM_FOR;
@@ -135,8 +135,8 @@
             for (task, place) in &other.places {
                 if place.stop.is_some() {
                     have.add(room);
-                } else if outranks(job, other, within) && !self.passes_before(&other.id, &job.id) {
-                    let lost = lost_s(now, other, place) + self.tier_weight(other);
+                } else if outranks(job, other, within) && !self.precedes_in_evacuation(&other.id, &job.id) {
+                    let lost = lost_s(now, other, place) + self.tier_preemption_cost(other);
                     victims.push((lost, (other.id.clone(), *task), room));
                 }
             }
@@ -153,7 +153,7 @@
             have.add(room);
             stopped += 1;
             let spec = &self.jobs[&victim].spec;
-            let grace = if urgent || spec.checkpoint_s == 0.0 { 0.0 } else { spec.save_s };
+            let grace = if urgent || spec.checkpoint_interval_s == 0.0 { 0.0 } else { spec.save_s };
             self.stop_task(env, &victim, task, grace);
         }
         if stopped > 0 {
@@ -168,7 +168,7 @@
             return false;
         }
         // Placement goes by tiers: a later one takes no room from an earlier one.
-        if self.passes_before(&victim.id, &job.id) {
+        if self.precedes_in_evacuation(&victim.id, &job.id) {
             return false;
         }
         let lower = outranks(job, victim, within);
@@ -211,7 +211,7 @@
                     // Its room comes free by itself.
                     freed.add(Room::of(&owner.spec));
                 } else if self.may_stop(owner, job, within) {
-                    let lost = lost_s(now, owner, place) + self.tier_weight(owner);
+                    let lost = lost_s(now, owner, place) + self.tier_preemption_cost(owner);
                     victims.push((lost, key.clone(), Room::of(&owner.spec)));
                 }
             }
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -72,7 +72,7 @@
         self.close_jobs(&mut txn, &mut batch, &mut conditioned, ops.saturating_sub(2).max(2));
         self.write_segment(env, &mut txn, &mut batch, &mut conditioned);
         self.write_moves(env, &mut txn, &mut batch);
-        self.write_zones(env, &mut txn, &mut batch);
+        self.write_zone_record(env, &mut txn, &mut batch);
         self.gather(env, &mut txn, &mut batch);
         while txn.writes.len() < ops {
             let Some(key) = self.records.drops.pop_front() else {
@@ -99,7 +99,7 @@
         let moves = since(MOVES_GAP) && !self.moves_unwritten().is_empty();
         let any = awaited
             || moves
-            || self.zones_unwritten()
+            || self.zone_record_is_unwritten()
             || records.doubt
             || !records.changed.is_empty()
             || !records.drops.is_empty();
@@ -230,7 +230,7 @@
         self.records.drops.extend(batch.drops);
         self.moves_not_written(&batch.moves);
         if batch.failover {
-            self.zones_not_written();
+            self.zone_record_not_written();
         }
     }
 
@@ -270,7 +270,7 @@
         for name in batch.closed {
             let cancelled = self.jobs.get(&name).is_some_and(|job| job.cancelled);
             tracing::debug!(job = &*name, cancelled, "over");
-            self.dependency_over(env, &name, if cancelled { RecordState::Cancelled } else { RecordState::Done });
+            self.dependency_ended(env, &name, if cancelled { RecordState::Cancelled } else { RecordState::Done });
             self.forget_job(&name);
             self.place_due = true;
         }
@@ -284,7 +284,7 @@
         job.version = job.version.max(version);
         match state {
             RecordState::Done => {
-                self.dependency_over(env, name, RecordState::Done);
+                self.dependency_ended(env, name, RecordState::Done);
                 self.forget_job(name);
             }
             RecordState::Cancelled => {
--- a/crates/core/src/records/log.rs
+++ b/crates/core/src/records/log.rs
@@ -62,7 +62,7 @@
         let waiting = self.records.placed.iter().map(|(_, key)| key).chain(&self.records.changed);
         let looked_at: Vec<TaskKey> = waiting.take(env.facts.value_bytes / LEAST_BYTES).cloned().collect();
         let (due, over): (Vec<_>, Vec<_>) = looked_at.into_iter().partition(|key| open(&key.0).is_some());
-        let others_unwritten = self.zones_unwritten() || !self.moves_unwritten().is_empty();
+        let others_unwritten = self.zone_record_is_unwritten() || !self.moves_unwritten().is_empty();
         let records = &mut self.records;
         // What is over needs no record.
         over.iter().for_each(|key| records.settled(key));
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -58,7 +58,7 @@
     pub fn forget_job(&mut self, name: &Name) {
         self.stops.job_ended(name);
         if let Some(job) = self.jobs.remove(name) {
-            self.unlink(&job);
+            self.unlink_dependencies(&job);
             for page in job.pages.keys() {
                 self.records.drop_key(page_key(name, *page));
             }
@@ -87,7 +87,7 @@
             return;
         }
         self.allowance = self.grant;
-        self.read_awaited(env);
+        self.read_dependencies(env);
         if self.last_look.is_none_or(|t| now.duration_since(t) >= Duration::from_millis(300)) {
             self.last_look = Some(now);
             self.check_silence(env);
--- a/crates/core/src/recover/load.rs
+++ b/crates/core/src/recover/load.rs
@@ -59,10 +59,10 @@
     pub fn loaded(&mut self, env: &mut Env, call: LoadCall, outcome: Outcome<StoreAnswer>) {
         match (call, outcome) {
             (LoadCall::Watch { sent }, outcome) => self.watched(env, sent, outcome),
-            (LoadCall::Awaited(job), outcome) => self.awaited_read(env, job, outcome),
+            (LoadCall::Awaited(job), outcome) => self.dependency_read_outcome(env, job, outcome),
             (LoadCall::Failover, Outcome::Answered(StoreAnswer::Item(item))) => {
                 self.waiting = false;
-                self.zones_read(env, item);
+                self.load_zone_record(env, item);
                 self.complete_load(env);
             }
             (call, Outcome::Answered(StoreAnswer::Page(page))) => {
@@ -215,7 +215,7 @@
         self.hold_places(env.steady(), &addresses);
         self.adopt_moves(env);
         for name in self.jobs.keys().cloned().collect::<Vec<_>>() {
-            self.link(env, &name);
+            self.link_dependencies(env, &name);
         }
         for name in self.jobs.keys().cloned().collect::<Vec<_>>() {
             // A leader that fell between a cancellation and its stops leaves them to us.
@@ -316,12 +316,12 @@
                     due_s = record.spec.deadline_s,
                     "new job"
                 );
-                self.renting.saw_job(&record.spec);
+                self.renting.observe_job(&record.spec);
                 let job = Job::new(record.spec, record.at_ms, version, record.cancelled);
                 self.jobs.insert(name.clone(), job);
                 // While all is read for the first time, what it awaits may come later.
                 if self.loaded {
-                    self.link(env, &name);
+                    self.link_dependencies(env, &name);
                 }
             }
         }
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -12,8 +12,8 @@
 
 use std::time::Duration;
 
-use rushyoke_wire::peer::{Relay, RelayAnswer, RelayResponse, Relayed, RelayedMachine, RelayedTask};
-use rushyoke_wire::worker::{Elsewhere, Report, TaskReport};
+use rushyoke_wire::peer::{FullReport, RelayRequest, RelayResponse, RelayedReport, RelayedResponse, RelayedTask};
+use rushyoke_wire::worker::{Report, ReportRedirect, TaskReport};
 use serde_json::value::RawValue;
 
 use crate::fleet::{Tasks, digest};
@@ -94,7 +94,7 @@
                 match read(&held.tasks) {
                     Ok(list) => {
                         tasks += list.len();
-                        Some(RelayedMachine {
+                        Some(FullReport {
                             addr: report.addr.clone(),
                             kind: report.kind.clone(),
                             zone: report.zone.clone(),
@@ -109,7 +109,7 @@
                     }
                 }
             };
-            reports.push(Relayed {
+            reports.push(RelayedReport {
                 machine: report.machine.clone(),
                 session: report.session,
                 seq: report.seq,
@@ -121,12 +121,12 @@
             self.relaying.under_way.push(held);
         }
         if !reports.is_empty() {
-            self.env.relay(label, Relay { token, reports });
+            self.env.relay(label, RelayRequest { token, reports });
         }
     }
 
     /// Reports that another node hands on.
-    pub(crate) fn relay_requested(&mut self, req: Req, relay: Relay) {
+    pub(crate) fn relay_requested(&mut self, req: Req, relay: RelayRequest) {
         let mut told = RelayResponse::default();
         if self.token().is_some_and(|own| relay.token > own) {
             self.step_down("a peer follows a higher token");
@@ -137,7 +137,7 @@
                 let tasks = if full { Tasks::Listed(digest) } else { Tasks::Digest(digest) };
                 told.answers.push(match self.answer_report(report, tasks) {
                     ReportOutcome::Answer(Answer { status, body, retry_after_s }) => {
-                        Some(RelayAnswer { status, body, retry_after_s })
+                        Some(RelayedResponse { status, body, retry_after_s })
                     }
                     ReportOutcome::TasksNeeded => None,
                     ReportOutcome::Elsewhere(_) => break,
@@ -164,7 +164,7 @@
         let token = self.election.other_token();
         for held in std::mem::take(&mut self.relaying.under_way) {
             match (answers.next(), token) {
-                (Some(Some(RelayAnswer { status, body, retry_after_s })), Some(token)) => {
+                (Some(Some(RelayedResponse { status, body, retry_after_s })), Some(token)) => {
                     if status == 200 {
                         let Report { machine, addr, .. } = held.report;
                         self.relaying.told.insert(machine, Told { token, digest: held.digest, addr, at: now });
@@ -190,30 +190,25 @@
         }
         let label = self.idlest_follower()?;
         self.relaying.moves -= 1;
-        Some(Answer::json(421, &Elsewhere { report_to: Some(label) }))
+        Some(Answer::json(421, &ReportRedirect { report_to: Some(label) }))
     }
 }
 
 fn read(tasks: &RawValue) -> Result<Vec<RelayedTask>, serde_json::Error> {
     let list: Vec<TaskReport> = serde_json::from_str(tasks.get())?;
-    let pack = |t: TaskReport| RelayedTask { task: t.task, attempt: t.attempt, state: t.state, why: t.why };
+    let pack = |t: TaskReport| RelayedTask { task: t.task, attempt: t.attempt, state: t.state, cause: t.cause };
     Ok(list.into_iter().map(pack).collect())
 }
 
 /// The report, the digest of its tasks, and whether they are in it.
-fn unpack(relayed: Relayed) -> (Report, u64, bool) {
-    let Relayed { machine, session, seq, token, notice_s, digest, full } = relayed;
+fn unpack(relayed: RelayedReport) -> (Report, u64, bool) {
+    let RelayedReport { machine, session, seq, token, notice_s, digest, full } = relayed;
     let told = full.is_some();
-    let empty = RelayedMachine {
-        addr: String::new(),
-        kind: String::new(),
-        zone: String::new(),
-        spot: false,
-        tasks: Vec::new(),
-    };
-    let RelayedMachine { addr, kind, zone, spot, tasks } = full.unwrap_or(empty);
+    let empty =
+        FullReport { addr: String::new(), kind: String::new(), zone: String::new(), spot: false, tasks: Vec::new() };
+    let FullReport { addr, kind, zone, spot, tasks } = full.unwrap_or(empty);
     let unpack =
-        |t: RelayedTask| TaskReport { task: t.task, attempt: t.attempt, state: t.state, why: t.why, saved: None };
+        |t: RelayedTask| TaskReport { task: t.task, attempt: t.attempt, state: t.state, cause: t.cause, saved: None };
     let tasks = tasks.into_iter().map(unpack).collect();
     (Report { machine, addr, kind, zone, spot, session, seq, token, notice_s, tasks }, digest, told)
 }
--- a/crates/core/src/rent.rs
+++ b/crates/core/src/rent.rs
@@ -2,8 +2,8 @@
 //! back when it stands idle. Request names never repeat, since each holds the token.
 
 mod demand;
+mod releases;
 pub(crate) mod renting;
-mod returns;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,37 +17,37 @@
 use crate::jobs::Name;
 use crate::quota::Room;
 use crate::term::Term;
-use demand::missing;
+use demand::shortfall;
 use renting::Market;
 
 /// Most machines in one rental, and in one return.
-const MOST_RENTED: u32 = 50;
-const MOST_RETURNED: usize = 100;
+const MAX_MACHINES_PER_RENTAL: u32 = 50;
+const MAX_MACHINES_PER_RELEASE: usize = 100;
 /// Share of the cloud's calls a second that go into rentals, and the least number: the rest
 /// is for returns and lists.
-const RENTAL_SHARE: f64 = 0.5;
-const LEAST_RENTALS: f64 = 2.0;
+const RENTAL_CALL_SHARE: f64 = 0.5;
+const MIN_RENTALS_PER_S: f64 = 2.0;
 /// A refused kind of machine is asked for again after this time.
-const REFUSED_FOR: Duration = Duration::from_secs(6);
-const RETRY: Duration = Duration::from_millis(1200);
+const NO_CAPACITY_BACKOFF: Duration = Duration::from_secs(6);
+const RETRY_DELAY: Duration = Duration::from_millis(1200);
 /// Boot times after which a machine is no longer counted on, and given up.
-const LATE_BOOT: f64 = 2.0;
-const LOST_BOOT: f64 = 5.0;
+const LATE_AFTER_BOOT_TIMES: f64 = 2.0;
+const LOST_AFTER_BOOT_TIMES: f64 = 5.0;
 /// The cloud charges a machine for at least this time.
-const MIN_CHARGE: Duration = Duration::from_secs(58);
+const MIN_CHARGED_TIME: Duration = Duration::from_secs(58);
 /// A task that was started is left alone for this time before it is moved: the users do
 /// not count starts that are stopped sooner.
-const MOVE_AFTER_S: f64 = 32.0;
+const MIN_RUN_BEFORE_MOVE_S: f64 = 32.0;
 /// Replicas that may be moved each second, as a share of those that run. A move takes a few
 /// tenths of a second where the image is cached, so this costs them a thousandth of their time.
-const MOVED_SHARE: f64 = 0.0025;
+const REPLICA_MOVES_PER_S_SHARE: f64 = 0.0025;
 /// What a machine with replicas counts as taking to become empty.
-const WITH_REPLICAS_S: f64 = 1e6;
+const SERVICE_EMPTY_TIME_S: f64 = 1e6;
 /// Moves that may be saved up.
-const MOVES_SAVED: f64 = 8.0;
+const MAX_SAVED_MOVES: f64 = 8.0;
 
 /// What is wanted or had of one kind, in machines of a type.
-fn machines_of(room: Room, kind: &MachineType) -> f64 {
+fn machines_needed(room: Room, kind: &MachineType) -> f64 {
     let part = |want: f64, have: f64| {
         if want <= 0.0 {
             0.0
@@ -64,24 +64,24 @@
     /// Once a second.
     pub fn rent_tick(&mut self, env: &mut Env) {
         let now = env.steady();
-        self.repeat_rentals(env);
-        self.list(env);
+        self.retry_rentals(env);
+        self.request_listing(env);
         if !env.types.is_empty() && !self.fleet_unclear(env) {
-            self.rent_what_is_missing(env);
+            self.rent_shortfall(env);
         }
-        self.empty_retiring(env);
-        self.return_idle(env, now);
-        self.send_returns(env, now);
+        self.drain_retiring(env);
+        self.release_idle(env, now);
+        self.send_releases(env, now);
     }
 
-    fn list(&mut self, env: &mut Env) {
+    fn request_listing(&mut self, env: &mut Env) {
         let now = env.steady();
         let period = (env.facts.list_lag / 2).clamp(Duration::from_secs(2), Duration::from_secs(10));
-        let due = self.renting.listed_at.is_none_or(|t| now.duration_since(t) >= period);
-        if due && !self.renting.listing {
-            self.renting.listing = true;
-            self.renting.listed_at = Some(now);
-            let after = self.renting.list_after.clone();
+        let due = self.renting.last_listing.is_none_or(|t| now.duration_since(t) >= period);
+        if due && !self.renting.listing_in_flight {
+            self.renting.listing_in_flight = true;
+            self.renting.last_listing = Some(now);
+            let after = self.renting.listing_after.clone();
             env.cloud(Purpose::Rent(RentCall::List), CloudOp::List { after });
         }
     }
@@ -89,25 +89,25 @@
     /// Rents machines for `room`; spot work falls back on ordinary machines. All of it at
     /// once, as far as the cloud's calls go: in a large fleet a part each second would take
     /// minutes, while jobs wait for their first task.
-    fn rent_kind(&mut self, env: &mut Env, mut room: Room, spot: bool, within: Option<&[String]>) {
+    fn rent_resources(&mut self, env: &mut Env, mut room: Room, spot: bool, within: Option<&[String]>) {
         let now = env.steady();
-        self.renting.refused.retain(|_, until| *until > now);
+        self.renting.no_capacity_until.retain(|_, until| *until > now);
         let mut there: BTreeMap<String, u32> = BTreeMap::new();
         for machine in self.machines.values() {
             *there.entry(machine.zone.clone()).or_default() += 1;
         }
-        while !room.is_nothing() && self.renting.calls > 0 {
+        while !room.is_nothing() && self.renting.rentals_left > 0 {
             let mut options: Vec<(f64, f64, Market)> = Vec::new();
             for kind in env.types.iter() {
-                let count = machines_of(room, kind);
+                let count = machines_needed(room, kind);
                 if !count.is_finite() {
                     continue;
                 }
                 let price = if spot { kind.spot_price.unwrap_or(f64::INFINITY) } else { kind.price };
                 for zone in kind.zones.iter().filter(|z| within.is_none_or(|w| w.contains(z))) {
                     let market = (kind.name.clone(), zone.clone(), spot);
-                    let busy = self.renting.refused.contains_key(&market);
-                    let closed = self.zone_is_cut(zone) || self.zone_is_closed(zone);
+                    let busy = self.renting.no_capacity_until.contains_key(&market);
+                    let closed = self.zone_is_unreachable(zone) || self.zone_is_closed(zone);
                     if price.is_finite() && !busy && !closed {
                         options.push((price * count, count, market));
                     }
@@ -118,20 +118,20 @@
             options.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| held(&a.2).cmp(&held(&b.2))));
             let Some((cost, count, (kind, zone, _))) = options.first().cloned() else {
                 if spot {
-                    self.rent_kind(env, room, false, within);
+                    self.rent_resources(env, room, false, within);
                 }
                 return;
             };
             // Spread over the zones that are as good.
             let zones = options.iter().filter(|option| option.0 <= cost).count() as u32;
-            let count = (count.ceil() as u32).max(1).div_ceil(zones).min(MOST_RENTED);
-            self.renting.calls -= 1;
-            self.renting.serial += 1;
-            let request = format!("r-{}-{}", self.token, self.renting.serial);
+            let count = (count.ceil() as u32).max(1).div_ceil(zones).min(MAX_MACHINES_PER_RENTAL);
+            self.renting.rentals_left -= 1;
+            self.renting.request_serial += 1;
+            let request = format!("r-{}-{}", self.token, self.renting.request_serial);
             tracing::info!(request, kind, zone, spot, count, "renting");
             if let Some(kind) = env.type_named(&kind) {
                 let rented = Room { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
-                room = missing(room, rented.scaled(f64::from(count)));
+                room = shortfall(room, rented.scaled(f64::from(count)));
             }
             *there.entry(zone.clone()).or_default() += count;
             self.send_rental(env, Rental { request, kind, zone, spot, count });
@@ -139,30 +139,35 @@
     }
 
     fn send_rental(&mut self, env: &mut Env, rental: Rental) {
-        self.renting.open.push((rental.clone(), env.steady()));
+        self.renting.open_rentals.push((rental.clone(), env.steady()));
         env.cloud(Purpose::Rent(RentCall::Rent(rental.clone())), CloudOp::Rent(rental));
     }
 
-    fn repeat_rentals(&mut self, env: &mut Env) {
+    fn retry_rentals(&mut self, env: &mut Env) {
         let now = env.steady();
         let wait = Duration::from_secs(8);
-        let due: Vec<Rental> =
-            self.renting.open.iter().filter(|(_, at)| now.duration_since(*at) > wait).map(|(r, _)| r.clone()).collect();
+        let due: Vec<Rental> = self
+            .renting
+            .open_rentals
+            .iter()
+            .filter(|(_, at)| now.duration_since(*at) > wait)
+            .map(|(r, _)| r.clone())
+            .collect();
         for rental in due {
-            self.renting.open.retain(|(r, _)| r.request != rental.request);
+            self.renting.open_rentals.retain(|(r, _)| r.request != rental.request);
             self.send_rental(env, rental);
         }
     }
 
     /// A call to the cloud has an outcome.
-    pub fn rented(&mut self, env: &mut Env, call: RentCall, outcome: Outcome<CloudAnswer>) {
+    pub fn cloud_call_outcome(&mut self, env: &mut Env, call: RentCall, outcome: Outcome<CloudAnswer>) {
         match call {
             RentCall::Rent(rental) => self.rental_outcome(env, rental, outcome),
             RentCall::Release(names) => self.release_outcome(env, names, outcome),
             RentCall::List => {
-                self.renting.listing = false;
+                self.renting.listing_in_flight = false;
                 if let Outcome::Answered(CloudAnswer::Listing(listing)) = outcome {
-                    self.take_listing(env, &listing);
+                    self.apply_listing(env, &listing);
                 }
             }
         }
@@ -174,32 +179,32 @@
         if matches!(outcome, Outcome::Unknown) {
             return;
         }
-        let asked = self.renting.open.len();
-        self.renting.open.retain(|(open, _)| open.request != rental.request);
-        let answered_before = self.renting.open.len() == asked;
+        let asked = self.renting.open_rentals.len();
+        self.renting.open_rentals.retain(|(open, _)| open.request != rental.request);
+        let answered_before = self.renting.open_rentals.len() == asked;
         let market = (rental.kind.clone(), rental.zone.clone(), rental.spot);
         match outcome {
             Outcome::Answered(CloudAnswer::Rented(_)) if answered_before => {}
             Outcome::Answered(CloudAnswer::Rented(names)) => {
                 if (names.len() as u32) < rental.count {
-                    self.renting.refused.insert(market, now + REFUSED_FOR);
+                    self.renting.no_capacity_until.insert(market, now + NO_CAPACITY_BACKOFF);
                 }
                 tracing::info!(request = rental.request, machines = names.len(), "rented");
                 self.zones.insert(rental.zone.clone());
-                self.expect_machines(env, &rental, names);
+                self.add_rented_machines(env, &rental, names);
             }
             Outcome::Answered(CloudAnswer::NoCapacity) => {
                 tracing::info!(kind = rental.kind, zone = rental.zone, spot = rental.spot, "no capacity");
-                self.renting.refused.insert(market, now + REFUSED_FOR);
+                self.renting.no_capacity_until.insert(market, now + NO_CAPACITY_BACKOFF);
             }
             _ => {
-                self.renting.refused.insert(market, now + RETRY);
+                self.renting.no_capacity_until.insert(market, now + RETRY_DELAY);
             }
         }
     }
 
     /// Machines that were rented will come up.
-    fn expect_machines(&mut self, env: &Env, rental: &Rental, names: Vec<String>) {
+    fn add_rented_machines(&mut self, env: &Env, rental: &Rental, names: Vec<String>) {
         let Some(kind) = env.type_named(&rental.kind) else { return };
         for name in names {
             let name = Name::from(name.as_str());
@@ -209,7 +214,7 @@
     }
 
     fn release_outcome(&mut self, env: &mut Env, names: Vec<Name>, outcome: Outcome<CloudAnswer>) {
-        self.renting.return_open = false;
+        self.renting.release_in_flight = false;
         if matches!(outcome, Outcome::Answered(CloudAnswer::Released)) {
             for name in names {
                 tracing::info!(machine = &*name, "returned");
@@ -217,7 +222,7 @@
             }
             return;
         }
-        self.renting.return_retry = Some(env.steady() + RETRY);
+        self.renting.release_retry_at = Some(env.steady() + RETRY_DELAY);
         let unsure = matches!(outcome, Outcome::Unknown);
         for name in names {
             // Surely not returned: it may be used again if it is heard of.
@@ -225,22 +230,22 @@
                 machine.release_sent = None;
                 machine.leaving = machine.suspect;
             }
-            self.renting.release_later(name);
+            self.renting.queue_release(name);
         }
     }
 
-    fn take_listing(&mut self, env: &mut Env, listing: &Listing) {
+    fn apply_listing(&mut self, env: &mut Env, listing: &Listing) {
         for listed in &listing.machines {
             self.machine_listed(env, listed);
         }
         let last = listing.machines.last().map(|m| m.id.clone());
-        self.renting.list_after = last.filter(|_| listing.more);
-        if self.renting.list_after.is_some() {
+        self.renting.listing_after = last.filter(|_| listing.more);
+        if self.renting.listing_after.is_some() {
             // A fleet of thousands takes many pages, and nothing is rented before all are read.
-            self.renting.listed_at = None;
-            self.list(env);
+            self.renting.last_listing = None;
+            self.request_listing(env);
         } else {
-            self.renting.listed = true;
+            self.renting.fleet_listed = true;
         }
     }
 }
--- a/crates/core/src/rent/demand.rs
+++ b/crates/core/src/rent/demand.rs
@@ -7,14 +7,14 @@
 use crate::quota::Room;
 use crate::term::Term;
 
-use super::{LATE_BOOT, LEAST_RENTALS, RENTAL_SHARE};
+use super::{LATE_AFTER_BOOT_TIMES, MIN_RENTALS_PER_S, RENTAL_CALL_SHARE};
 
 /// What a type of machine takes to boot if the cloud does not say.
-const UNKNOWN_BOOT_S: f64 = 60.0;
+const DEFAULT_BOOT_S: f64 = 60.0;
 
 /// Zones that a job is bound to, and whether it may use spot machines.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Binding {
+struct ZoneConstraint {
     zones: Vec<String>,
     spot: bool,
 }
@@ -27,7 +27,7 @@
     /// Of work that may not.
     ordinary: Room,
     /// Of work that is bound to zones.
-    bound: BTreeMap<Binding, Room>,
+    zone_bound: BTreeMap<ZoneConstraint, Room>,
 }
 
 impl Demand {
@@ -56,10 +56,10 @@
     }
 
     /// What is free for work that is bound to zones.
-    fn within(&self, binding: &Binding) -> Room {
+    fn within(&self, constraint: &ZoneConstraint) -> Room {
         let mut free = Room::default();
         for ((zone, spot), room) in &self.zones {
-            if binding.zones.contains(zone) && (binding.spot || !spot) {
+            if constraint.zones.contains(zone) && (constraint.spot || !spot) {
                 free.add(*room);
             }
         }
@@ -69,12 +69,12 @@
 
 impl Term {
     /// Tasks of a job that wait and that its team's limit would let run.
-    fn startable(&self, job: &Job, team_left: &mut BTreeMap<String, f64>) -> f64 {
+    fn startable_tasks(&self, job: &Job, quota_left: &mut BTreeMap<String, f64>) -> f64 {
         let waiting = job.waiting();
         if waiting == 0 {
             return 0.0;
         }
-        let left = team_left
+        let left = quota_left
             .entry(job.spec.team.clone())
             .or_insert_with(|| self.quotas.usage(&job.spec.team).map_or(0.0, |u| u.team.cpus_max - u.cpus));
         let cpus = job.spec.cpus;
@@ -85,12 +85,12 @@
     }
 
     /// Demand that has no room yet, and what must be kept free, by kind of machine.
-    pub(super) fn rent_what_is_missing(&mut self, env: &mut Env) {
-        self.renting.calls = (env.facts.cloud_rps * RENTAL_SHARE).max(LEAST_RENTALS) as usize;
+    pub(super) fn rent_shortfall(&mut self, env: &mut Env) {
+        self.renting.rentals_left = (env.facts.cloud_rps * RENTAL_CALL_SHARE).max(MIN_RENTALS_PER_S) as usize;
         self.rent_by_tiers(env);
         let mut demand = self.demand(|_| true);
         let supply = self.supply(env);
-        self.rent_bound(env, &mut demand, &supply);
+        self.rent_zone_bound(env, &mut demand, &supply);
         let policy = env.policy.clone();
         let largest = env.types.iter().map(|t| t.cpus).fold(0.0, f64::max);
         let headroom = (supply.in_use * policy.headroom_share).max(policy.headroom_machines * largest);
@@ -100,16 +100,16 @@
         }
         // What ordinary machines have left over serves spot work too.
         let left_over = (supply.ordinary.cpus - demand.ordinary.cpus).max(0.0);
-        self.retire(env, supply.in_use + demand.spot.cpus + demand.ordinary.cpus);
+        self.choose_retiring(env, supply.in_use + demand.spot.cpus + demand.ordinary.cpus);
         demand.spot.cpus = (demand.spot.cpus - left_over).max(0.0);
-        self.rent_kind(env, missing(demand.ordinary, supply.ordinary), false, None);
-        self.rent_kind(env, missing(demand.spot, supply.spot), true, None);
+        self.rent_resources(env, shortfall(demand.ordinary, supply.ordinary), false, None);
+        self.rent_resources(env, shortfall(demand.spot, supply.spot), true, None);
     }
 
     /// While a zone is evacuated, what each tier and those before it lack is asked for before anything of
     /// a later one: the cloud's calls and machines may not do for all.
     fn rent_by_tiers(&mut self, env: &mut Env) {
-        if !self.evacuates() {
+        if !self.is_evacuating() {
             return;
         }
         let tiers: BTreeSet<usize> = self.jobs.values().map(|job| self.tier_of(job)).collect();
@@ -117,23 +117,23 @@
         for tier in tiers.into_iter().filter(|tier| Some(*tier) != last) {
             let mut demand = self.demand(|earlier| earlier <= tier);
             let supply = self.supply(env);
-            self.rent_bound(env, &mut demand, &supply);
+            self.rent_zone_bound(env, &mut demand, &supply);
             let left_over = (supply.ordinary.cpus - demand.ordinary.cpus).max(0.0);
             demand.spot.cpus = (demand.spot.cpus - left_over).max(0.0);
-            self.rent_kind(env, missing(demand.ordinary, supply.ordinary), false, None);
-            self.rent_kind(env, missing(demand.spot, supply.spot), true, None);
+            self.rent_resources(env, shortfall(demand.ordinary, supply.ordinary), false, None);
+            self.rent_resources(env, shortfall(demand.spot, supply.spot), true, None);
         }
     }
 
     /// Rents for work that is bound to zones, and leaves in the demand what has room there: it takes its
     /// part of what is free, wherever that is.
-    fn rent_bound(&mut self, env: &mut Env, demand: &mut Demand, supply: &Supply) {
-        for (binding, need) in std::mem::take(&mut demand.bound) {
-            let gap = missing(need, supply.within(&binding));
+    fn rent_zone_bound(&mut self, env: &mut Env, demand: &mut Demand, supply: &Supply) {
+        for (constraint, need) in std::mem::take(&mut demand.zone_bound) {
+            let gap = shortfall(need, supply.within(&constraint));
             if !gap.is_nothing() {
-                self.rent_kind(env, gap, binding.spot, Some(&binding.zones));
+                self.rent_resources(env, gap, constraint.spot, Some(&constraint.zones));
             }
-            demand.add(binding.spot, need.minus(gap));
+            demand.add(constraint.spot, need.minus(gap));
         }
     }
 
@@ -141,26 +141,28 @@
     /// are wanted. Earlier tiers use up their teams' limits first.
     fn demand(&self, wanted: impl Fn(usize) -> bool) -> Demand {
         let mut demand = Demand::default();
-        let mut team_left = BTreeMap::new();
-        let evacuates = self.evacuates();
+        let mut quota_left = BTreeMap::new();
+        let evacuates = self.is_evacuating();
         let tier = |job: &Job| if evacuates { self.tier_of(job) } else { 0 };
         let mut jobs: Vec<(usize, &Job)> = self.jobs.values().map(|job| (tier(job), job)).collect();
         if evacuates {
             jobs.sort_by_key(|(tier, _)| *tier);
         }
         for (_, job) in jobs.into_iter().filter(|(tier, _)| wanted(*tier)) {
-            let tasks = self.startable(job, &mut team_left);
+            let tasks = self.startable_tasks(job, &mut quota_left);
             if tasks == 0.0 {
                 continue;
             }
             let need = Room::of(&job.spec).scaled(tasks);
-            match self.bound_to(job) {
-                Some(zones) => demand.bound.entry(Binding { zones, spot: job.spec.spot }).or_default().add(need),
+            match self.allowed_zones(job) {
+                Some(zones) => {
+                    demand.zone_bound.entry(ZoneConstraint { zones, spot: job.spec.spot }).or_default().add(need)
+                }
                 None => demand.add(job.spec.spot, need),
             }
         }
         // What runs on machines that are cut off will want room elsewhere when their leases end.
-        for machine in self.machines.values().filter(|m| self.will_lose_work(m)) {
+        for machine in self.machines.values().filter(|m| self.will_lose_tasks(m)) {
             for (name, _) in &machine.places {
                 let job = &self.jobs[name];
                 // What is bound to its zone waits for it.
@@ -178,8 +180,8 @@
         let now = env.steady();
         let mut supply = Supply::default();
         for machine in self.machines.values().filter(|m| m.counts()) {
-            let boot = env.type_named(&machine.kind).map_or(UNKNOWN_BOOT_S, |k| k.boot_s);
-            let late = !machine.up && now.duration_since(machine.known).as_secs_f64() > boot * LATE_BOOT;
+            let boot = env.type_named(&machine.kind).map_or(DEFAULT_BOOT_S, |k| k.boot_s);
+            let late = !machine.up && now.duration_since(machine.known).as_secs_f64() > boot * LATE_AFTER_BOOT_TIMES;
             // One that is known from a record only has room, but how much?
             if late || machine.kind.is_empty() {
                 continue;
@@ -187,7 +189,7 @@
             supply.in_use += machine.used.cpus;
             supply.add(&machine.zone, machine.spot, machine.total.minus(machine.used));
         }
-        for (rental, _) in &self.renting.open {
+        for (rental, _) in &self.renting.open_rentals {
             if let Some(kind) = env.type_named(&rental.kind) {
                 let room = Room { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
                 supply.add(&rental.zone, rental.spot, room.scaled(f64::from(rental.count)));
@@ -197,7 +199,7 @@
     }
 
     /// The only zones where a job's next task may go, if not everywhere.
-    pub fn bound_to(&self, job: &Job) -> Option<Vec<String>> {
+    pub fn allowed_zones(&self, job: &Job) -> Option<Vec<String>> {
         let zones = self.zones_for(job);
         match (&job.spec.zone, zones) {
             (Some(zone), None) => Some(vec![zone.clone()]),
@@ -208,7 +210,7 @@
     }
 }
 
-pub(super) fn missing(need: Room, free: Room) -> Room {
+pub(super) fn shortfall(need: Room, free: Room) -> Room {
     let gap = need.minus(free);
     Room { cpus: gap.cpus.max(0.0), gpus: gap.gpus.max(0.0), memory_gb: gap.memory_gb.max(0.0) }
 }
--- a/crates/core/src/rent/returns.rs
+++ b/crates/core/src/rent/releases.rs
@@ -14,24 +14,27 @@
 use crate::quota::Room;
 use crate::term::Term;
 
-use super::{LOST_BOOT, MIN_CHARGE, MOST_RETURNED, MOVE_AFTER_S, MOVED_SHARE, MOVES_SAVED, WITH_REPLICAS_S};
+use super::{
+    LOST_AFTER_BOOT_TIMES, MAX_MACHINES_PER_RELEASE, MAX_SAVED_MOVES, MIN_CHARGED_TIME, MIN_RUN_BEFORE_MOVE_S,
+    REPLICA_MOVES_PER_S_SHARE, SERVICE_EMPTY_TIME_S,
+};
 
 impl Term {
     /// Chooses machines that can be returned soon: with all others, what is in use, what
     /// waits and what is kept free would fit. `need` counts CPUs.
-    pub(super) fn retire(&mut self, env: &mut Env, need: f64) {
+    pub(super) fn choose_retiring(&mut self, env: &mut Env, need: f64) {
         let now = env.steady();
         let window = env.policy.idle;
-        self.renting.needs.push_back((now, need));
-        while self.renting.needs.front().is_some_and(|(t, _)| now.duration_since(*t) > window) {
-            self.renting.needs.pop_front();
+        self.renting.recent_needs.push_back((now, need));
+        while self.renting.recent_needs.front().is_some_and(|(t, _)| now.duration_since(*t) > window) {
+            self.renting.recent_needs.pop_front();
         }
         let mut have: f64 = self.machines.values().filter(|m| m.counts()).map(|m| m.total.cpus).sum();
         let mut candidates: Vec<(bool, bool, f64, Name)> = self
             .machines
             .values()
             .filter(|m| m.up && m.counts())
-            .map(|m| (m.hosts_service(), m.spot, self.empty_in(now, m), m.name.clone()))
+            .map(|m| (m.hosts_service(), m.spot, self.seconds_until_empty(now, m), m.name.clone()))
             .collect();
         // Those with replicas last, since these end with their service only; then the dearest
         // first, and of those the ones that are empty the soonest.
@@ -63,22 +66,23 @@
     }
 
     /// Whether tasks of the job wait that its team's limit would let run.
-    fn could_start(&self, job: &Job) -> bool {
+    fn has_startable_tasks(&self, job: &Job) -> bool {
         let usage = self.quotas.usage(&job.spec.team);
         job.waiting() > 0 && usage.is_some_and(|u| u.headroom(Room::of(&job.spec)) > 0)
     }
 
     /// Moves the tasks of a retiring machine that save their progress, and replicas, where that
     /// empties it: one machine at a time, while nothing waits and the others have the room.
-    pub(super) fn empty_retiring(&mut self, env: &mut Env) {
+    pub(super) fn drain_retiring(&mut self, env: &mut Env) {
         let now = env.steady();
         // What runs well is not moved because a zone is back.
-        if self.zones_unhealthy() || self.jobs.values().any(|job| self.could_start(job)) {
+        if self.any_zone_unhealthy() || self.jobs.values().any(|job| self.has_startable_tasks(job)) {
             return;
         }
         let replicas: u32 = self.machines.values().map(Machine::replicas).sum();
         let renting = &mut self.renting;
-        renting.moves = (renting.moves + f64::from(replicas) * MOVED_SHARE).min(MOVES_SAVED);
+        renting.move_budget =
+            (renting.move_budget + f64::from(replicas) * REPLICA_MOVES_PER_S_SHARE).min(MAX_SAVED_MOVES);
         let mut free: Vec<(&Machine, Room)> = Vec::new();
         for machine in self.machines.values().filter(|m| m.usable(now) && !m.retiring && m.claim.is_none()) {
             free.push((machine, self.free_room(machine)));
@@ -89,10 +93,10 @@
         for machine in self.machines.values().filter(|m| m.retiring && !m.places.is_empty()) {
             let used = machine.used.cpus;
             let replicas = f64::from(machine.replicas());
-            if replicas > self.renting.moves || best.as_ref().is_some_and(|(least, _)| used >= *least) {
+            if replicas > self.renting.move_budget || best.as_ref().is_some_and(|(least, _)| used >= *least) {
                 continue;
             }
-            let Some(moved) = self.movable(now, machine) else { continue };
+            let Some(moved) = self.tasks_to_move(now, machine) else { continue };
             let count = moved.len();
             let mut room = free.clone();
             let mut targets: BTreeSet<&Name> = BTreeSet::new();
@@ -101,7 +105,7 @@
                 let job = &self.jobs[&key.0];
                 let need = Room::of(&job.spec);
                 let target = room.iter_mut().find(|(m, r)| {
-                    let apart = job.spec.kind == Kind::Array || takes_replica(m, machine, job, &targets);
+                    let apart = job.spec.kind == Kind::Array || can_take_replica(m, machine, job, &targets);
                     r.holds(need) && apart && m.images.holds(&job.spec.image)
                 });
                 let Some((target, room)) = target else { break };
@@ -121,7 +125,7 @@
         for ((job, task), target) in moved {
             let spec = self.jobs[&job].spec.clone();
             if spec.kind == Kind::Service {
-                self.renting.moves -= 1.0;
+                self.renting.move_budget -= 1.0;
                 let until = now + CLAIM_FOR;
                 let claim = Claim { job: job.clone(), room: Room::of(&spec), until, made: true };
                 self.machines.get_mut(&target).expect("a target").claim = Some(claim);
@@ -132,7 +136,7 @@
 
     /// The tasks to move for a machine to become empty; `None` if it would not, or if
     /// nothing needs a move.
-    fn movable(&self, now: Instant, machine: &Machine) -> Option<Vec<TaskKey>> {
+    fn tasks_to_move(&self, now: Instant, machine: &Machine) -> Option<Vec<TaskKey>> {
         let mut moved = Vec::new();
         for (name, task) in &machine.places {
             let job = &self.jobs[name];
@@ -143,11 +147,11 @@
                 continue;
             }
             // One that saves but ends soon is quicker left alone.
-            let saves = job.spec.checkpoint_s > 0.0 && left > MOVE_AFTER_S;
+            let saves = job.spec.checkpoint_interval_s > 0.0 && left > MIN_RUN_BEFORE_MOVE_S;
             let moves = job.spec.kind == Kind::Service || saves;
-            if moves && ran > MOVE_AFTER_S {
+            if moves && ran > MIN_RUN_BEFORE_MOVE_S {
                 moved.push((name.clone(), *task));
-            } else if job.spec.kind == Kind::Service || left > MOVE_AFTER_S / 2.0 {
+            } else if job.spec.kind == Kind::Service || left > MIN_RUN_BEFORE_MOVE_S / 2.0 {
                 return None;
             }
         }
@@ -155,9 +159,9 @@
     }
 
     /// Seconds until a machine's tasks are expected to have ended.
-    fn empty_in(&self, now: Instant, machine: &Machine) -> f64 {
+    fn seconds_until_empty(&self, now: Instant, machine: &Machine) -> f64 {
         if machine.hosts_service() {
-            return WITH_REPLICAS_S + machine.used.cpus;
+            return SERVICE_EMPTY_TIME_S + machine.used.cpus;
         }
         let left = machine.places.iter().filter_map(|(name, task)| {
             let job = self.jobs.get(name)?;
@@ -167,7 +171,7 @@
         left.fold(0.0, f64::max)
     }
 
-    pub(super) fn return_idle(&mut self, env: &mut Env, now: Instant) {
+    pub(super) fn release_idle(&mut self, env: &mut Env, now: Instant) {
         let mut lost = Vec::new();
         for machine in self.machines.values() {
             let boot = env.type_named(&machine.kind).map_or(60.0, |k| k.boot_s.max(1.0));
@@ -176,15 +180,19 @@
                 if machine.release_sent.is_none() {
                     lost.push(machine.name.clone());
                 }
-            } else if !machine.up && !machine.kind.is_empty() && age > boot * LOST_BOOT {
+            } else if !machine.up && !machine.kind.is_empty() && age > boot * LOST_AFTER_BOOT_TIMES {
                 tracing::info!(machine = &*machine.name, age_s = age, "never came up; given up");
                 lost.push(machine.name.clone());
             } else if machine.quarantined && machine.places.is_empty() {
                 lost.push(machine.name.clone());
             }
         }
-        let waiting: Vec<(&Job, Option<Vec<String>>)> =
-            self.jobs.values().filter(|job| self.could_start(job)).map(|job| (job, self.bound_to(job))).collect();
+        let waiting: Vec<(&Job, Option<Vec<String>>)> = self
+            .jobs
+            .values()
+            .filter(|job| self.has_startable_tasks(job))
+            .map(|job| (job, self.allowed_zones(job)))
+            .collect();
         let wanted = |machine: &Machine| {
             waiting.iter().any(|(job, zones)| {
                 allowed(&job.spec, machine) && zones.as_ref().is_none_or(|zones| zones.contains(&machine.zone))
@@ -196,12 +204,12 @@
             .filter(|m| m.up && m.counts() && m.places.is_empty() && !wanted(m))
             // A move is on its way there.
             .filter(|m| m.total.minus(self.free_room(m)).is_nothing())
-            .filter(|m| m.retiring && now.duration_since(m.known) > MIN_CHARGE)
+            .filter(|m| m.retiring && now.duration_since(m.known) > MIN_CHARGED_TIME)
             .collect();
         // The dearest first.
         idle.sort_by_key(|m| m.spot);
         // Capacity takes a boot to come back, so a short lull is no reason to return any.
-        let need = self.renting.needs.iter().map(|(_, n)| *n).fold(0.0, f64::max);
+        let need = self.renting.recent_needs.iter().map(|(_, n)| *n).fold(0.0, f64::max);
         let mut have: f64 = self.machines.values().filter(|m| m.counts()).map(|m| m.total.cpus).sum();
         for machine in idle {
             if have - machine.total.cpus >= need {
@@ -212,19 +220,22 @@
         for name in lost {
             let machine = self.machines.get_mut(&name).expect("listed");
             machine.leaving = true;
-            self.renting.release_later(name);
+            self.renting.queue_release(name);
         }
     }
 
-    pub(super) fn send_returns(&mut self, env: &mut Env, now: Instant) {
+    pub(super) fn send_releases(&mut self, env: &mut Env, now: Instant) {
         let renting = &mut self.renting;
-        if renting.return_open || renting.returning.is_empty() || renting.return_retry.is_some_and(|t| t > now) {
+        if renting.release_in_flight
+            || renting.to_release.is_empty()
+            || renting.release_retry_at.is_some_and(|t| t > now)
+        {
             return;
         }
         // One that was heard of again stays.
-        renting.returning.retain(|name| self.machines.get(name).is_none_or(|m| m.leaving));
-        let count = renting.returning.len().min(MOST_RETURNED);
-        let names: Vec<Name> = renting.returning.drain(..count).collect();
+        renting.to_release.retain(|name| self.machines.get(name).is_none_or(|m| m.leaving));
+        let count = renting.to_release.len().min(MAX_MACHINES_PER_RELEASE);
+        let names: Vec<Name> = renting.to_release.drain(..count).collect();
         if names.is_empty() {
             return;
         }
@@ -233,14 +244,14 @@
                 machine.release_sent = Some(now);
             }
         }
-        renting.return_open = true;
+        renting.release_in_flight = true;
         let list = names.iter().map(|n| n.to_string()).collect();
         env.cloud(Purpose::Rent(RentCall::Release(names)), CloudOp::Release(list));
     }
 }
 
 /// Whether a machine can take a replica that is moved: in the same zone, and apart from the service's others.
-fn takes_replica(target: &Machine, from: &Machine, job: &Job, taken: &BTreeSet<&Name>) -> bool {
+fn can_take_replica(target: &Machine, from: &Machine, job: &Job, taken: &BTreeSet<&Name>) -> bool {
     let key = |task| (job.id.clone(), task);
     target.zone == from.zone
         && allowed(&job.spec, target)
--- a/crates/core/src/speculate.rs
+++ b/crates/core/src/speculate.rs
@@ -64,7 +64,7 @@
         let job = self.jobs.get_mut(&best.key.0).expect("a candidate");
         job.restarted.insert(best.key.1);
         let need = Room::of(&job.spec);
-        let grace = if job.spec.checkpoint_s > 0.0 { job.spec.save_s } else { 0.0 };
+        let grace = if job.spec.checkpoint_interval_s > 0.0 { job.spec.save_s } else { 0.0 };
         let target = self.machines.get_mut(&best.target).expect("a candidate");
         let until = now + crate::place::CLAIM_FOR;
         target.claim = Some(Claim { job: best.key.0.clone(), room: need, until, made: true });
--- a/crates/core/src/spread.rs
+++ b/crates/core/src/spread.rs
@@ -75,7 +75,7 @@
             return None;
         }
         let ran = place.running.map_or(0.0, |at| now.duration_since(at).as_secs_f64());
-        let saves = job.spec.checkpoint_s > 0.0;
+        let saves = job.spec.checkpoint_interval_s > 0.0;
         if !saves && ran > settings.fresh.as_secs_f64() {
             return None;
         }
@@ -222,7 +222,7 @@
         let overdue = balancer.tick(now);
         // While bookings wait to be durable the state service is slow or silent: more would be no use.
         if !self.survey_suspects()
-            && !self.evacuates()
+            && !self.is_evacuating()
             && !balancer.moves().waits_longer(now, MoveState::Booked, BOOKED_SOON)
         {
             self.begin_moves(env, &mut balancer);
@@ -349,7 +349,7 @@
         }
         if self.balance.as_mut().is_some_and(|balancer| balancer.durable(now, key, attempt)) {
             let spec = &self.jobs[&key.0].spec;
-            let grace = if spec.checkpoint_s > 0.0 { spec.save_s } else { 0.0 };
+            let grace = if spec.checkpoint_interval_s > 0.0 { spec.save_s } else { 0.0 };
             self.stop_task(env, &key.0, key.1, grace);
         }
     }
@@ -379,7 +379,7 @@
         let reason = match self.machines.get(&open.to) {
             _ if !waits => Some(GiveUp::PlacedElsewhere),
             // Placement goes by tiers.
-            _ if self.evacuates() => Some(GiveUp::Evacuation),
+            _ if self.is_evacuating() => Some(GiveUp::Evacuation),
             // A new leader may not know it yet, or not have reached it.
             Some(target) if !target.is_known() && now.duration_since(open.since) < KNOWN_SOON => return,
             None if now.duration_since(open.since) < KNOWN_SOON => return,
--- a/crates/core/src/term.rs
+++ b/crates/core/src/term.rs
@@ -9,7 +9,7 @@
 use rushyoke_failover::Failover;
 use rushyoke_wire::peer::Progress;
 
-use crate::awaits::state::Awaited;
+use crate::dependencies::state::DependencyState;
 use crate::env::Env;
 use crate::facts::{Facts, Policy};
 use crate::fleet::calls::CallReason;
@@ -19,7 +19,7 @@
 use crate::jobs::*;
 use crate::quota::{Quotas, Room};
 use crate::records::state::Records;
-use crate::rent::renting::Renting;
+use crate::rent::renting::RentalState;
 use crate::speculate::statistics::Speculation;
 
 /// A tick that comes later than this shows that the processor is short.
@@ -92,7 +92,7 @@
     pub zones: BTreeSet<String>,
     pub quotas: Quotas,
     pub records: Records,
-    pub renting: Renting,
+    pub renting: RentalState,
     pub speculation: Speculation,
     /// Machines that have orders which should not wait for the next report.
     pub to_call: BTreeSet<(CallReason, Name)>,
@@ -115,7 +115,7 @@
     pub stops: StopAccount,
     /// Whether the last report was refused, since the right to answer had lapsed.
     pub refuses_reports: bool,
-    pub awaited: Awaited,
+    pub awaited: DependencyState,
     /// Load spreading, if it is switched on.
     pub balance: Option<Balancer>,
     /// Zone failover, if it is switched on.
@@ -159,7 +159,7 @@
             zones: BTreeSet::new(),
             quotas: Quotas::new(&facts.teams),
             records: Records::default(),
-            renting: Renting::default(),
+            renting: RentalState::default(),
             speculation: Speculation::default(),
             to_call: BTreeSet::new(),
             directs: 0,
@@ -175,7 +175,7 @@
             survey: Survey::default(),
             stops: StopAccount::default(),
             refuses_reports: false,
-            awaited: Awaited::default(),
+            awaited: DependencyState::default(),
             balance: balancer(facts, policy),
             failover: policy.failover.clone().map(Failover::new),
             controllers: ControllersSeen::default(),
--- a/crates/core/src/users.rs
+++ b/crates/core/src/users.rs
@@ -2,10 +2,10 @@
 //! service: a submission is answered once it is durable, a state that is not final is
 //! validated there again. Final states are cached, since they never change.
 
+mod cache;
 mod cancel;
-mod known;
 mod lookup;
-mod lookups;
+mod lookup_queue;
 pub(crate) mod state;
 mod submit;
 
@@ -17,63 +17,63 @@
 use crate::io::*;
 use crate::jobs::*;
 use crate::node::Node;
-use known::Known;
+use cache::CachedJob;
 
 /// Requests that wait for the store; more are turned away.
-const WAITING: usize = 512;
+const MAX_PENDING_REQUESTS: usize = 512;
 /// Users give up after 2 s on a query and 5 s on all else.
-const QUERY_LIMIT: Duration = Duration::from_millis(1600);
-const CHANGE_LIMIT: Duration = Duration::from_millis(4000);
+const QUERY_TIMEOUT: Duration = Duration::from_millis(1600);
+const CHANGE_TIMEOUT: Duration = Duration::from_millis(4000);
 
-fn store_unsure() -> Answer {
+fn store_unresponsive() -> Answer {
     Answer::later(503, "the state service did not answer")
 }
 
 impl Node {
     /// Takes a request among those that wait, or turns it away at once.
-    fn open(&mut self, request: Req, limit: Duration) -> bool {
+    fn admit_request(&mut self, request: Req, limit: Duration) -> bool {
         let now = self.env.steady();
         if self.store.down(now) {
             self.env.answer(request, Answer::later(503, "the state service does not answer"));
             return false;
         }
-        if self.users.open.len() >= WAITING {
+        if self.users.pending.len() >= MAX_PENDING_REQUESTS {
             self.env.answer(request, Answer::later(429, "too many requests at once"));
             return false;
         }
-        self.users.open.insert(request, now + limit);
+        self.users.pending.insert(request, now + limit);
         true
     }
 
     /// Answers a request unless that was done before.
-    fn close(&mut self, request: Req, answer: Answer) {
-        if self.users.open.remove(&request).is_some() {
+    fn respond(&mut self, request: Req, answer: Answer) {
+        if self.users.pending.remove(&request).is_some() {
             self.env.answer(request, answer);
         }
     }
 
     pub(crate) fn status(&mut self, request: Req, id: String) {
-        if let Some(known) = self.users.end_of(&id) {
-            let answer = self.view(&id, &known);
+        if let Some(cached) = self.users.final_state(&id) {
+            let answer = self.job_view(&id, &cached);
             self.env.answer(request, answer);
             return;
         }
-        if self.open(request, QUERY_LIMIT) {
+        if self.admit_request(request, QUERY_TIMEOUT) {
             self.look_up(request, id);
         }
     }
 
     /// What a job's record says; `None` if it cannot be read.
-    fn learn_item(&mut self, id: &str, item: Item) -> Option<Known> {
+    fn cache_record(&mut self, id: &str, item: Item) -> Option<CachedJob> {
         match serde_json::from_value::<JobRecord>(item.value) {
             Ok(record) => {
                 let JobRecord { state, tasks, awaits } = record;
-                let known = Known { state, tasks, version: item.version, awaits: awaits.into() };
+                let cached = CachedJob { state, tasks, version: item.version, dependencies: awaits.into() };
                 if state != RecordState::Open {
                     self.users.progress.remove(id);
                 }
-                self.users.known.insert(id, known.clone(), self.env.policy.known_jobs);
-                Some(known)
+                self.users.cache.insert(id, cached.clone(), self.env.policy.known_jobs);
+                Some(cached)
             }
             Err(error) => {
                 tracing::error!(job = id, %error, "a record cannot be read");
@@ -82,27 +82,27 @@
         }
     }
 
-    pub(crate) fn user_outcome(&mut self, call: UserCall, outcome: Outcome<StoreAnswer>) {
+    pub(crate) fn user_call_outcome(&mut self, call: UserCall, outcome: Outcome<StoreAnswer>) {
         match call {
-            UserCall::Compare { jobs } => self.compared(jobs, outcome),
+            UserCall::Compare { jobs } => self.comparison_outcome(jobs, outcome),
             UserCall::Read { job, requests } => self.read_outcome(job, requests, outcome),
-            UserCall::Refresh { job, group } => self.refreshed(&job, group, outcome),
+            UserCall::Refresh { job, group } => self.refresh_outcome(&job, group, outcome),
             UserCall::Dependencies { admission, asked } => self.dependencies_outcome(admission, asked, outcome),
             UserCall::Create(creation) => self.create_outcome(creation, outcome),
             UserCall::Refuse { request, job, answer } => self.refuse_outcome(request, job, answer, outcome),
-            UserCall::CancelRead { request, job } => self.cancel_read(request, job, outcome),
-            UserCall::CancelWrite { request, job, tasks } => self.cancel_written(request, job, tasks, outcome),
+            UserCall::CancelRead { request, job } => self.cancel_read_outcome(request, job, outcome),
+            UserCall::CancelWrite { request, job, tasks } => self.cancel_write_outcome(request, job, tasks, outcome),
         }
     }
 
     /// A request that takes too long is answered while its user still listens.
-    pub(crate) fn users_tick(&mut self) {
+    pub(crate) fn expire_user_requests(&mut self) {
         let now = self.env.steady();
         let down = self.store.down(now);
         let late: Vec<Req> =
-            self.users.open.iter().filter(|(_, until)| down || **until <= now).map(|(req, _)| *req).collect();
+            self.users.pending.iter().filter(|(_, until)| down || **until <= now).map(|(req, _)| *req).collect();
         for req in late {
-            self.close(req, Answer::later(503, "the state service did not answer in time"));
+            self.respond(req, Answer::later(503, "the state service did not answer in time"));
         }
     }
 }
--- a/crates/core/src/users/known.rs
+++ b/crates/core/src/users/cache.rs
@@ -9,22 +9,22 @@
 
 /// A job's record as it was last seen.
 #[derive(Clone, Debug)]
-pub(super) struct Known {
+pub(super) struct CachedJob {
     pub state: RecordState,
     pub tasks: u32,
     pub version: u64,
     /// Jobs that it awaits, while it is open.
-    pub awaits: Arc<[String]>,
+    pub dependencies: Arc<[String]>,
 }
 
-impl Known {
+impl CachedJob {
     /// A job that is over.
-    pub fn over(state: RecordState, tasks: u32, version: u64) -> Known {
-        Known { state, tasks, version, awaits: Arc::default() }
+    pub fn ended(state: RecordState, tasks: u32, version: u64) -> CachedJob {
+        CachedJob { state, tasks, version, dependencies: Arc::default() }
     }
 
     fn weight(&self) -> usize {
-        1 + self.awaits.len()
+        1 + self.dependencies.len()
     }
 }
 
@@ -38,14 +38,14 @@
 
 /// Known records, the oldest forgotten first.
 #[derive(Default)]
-pub(super) struct KnownJobs {
-    jobs: HashMap<String, Known>,
+pub(super) struct JobCache {
+    jobs: HashMap<String, CachedJob>,
     order: VecDeque<String>,
     weight: usize,
 }
 
-impl KnownJobs {
-    pub fn get(&self, id: &str) -> Option<&Known> {
+impl JobCache {
+    pub fn get(&self, id: &str) -> Option<&CachedJob> {
         self.jobs.get(id)
     }
 
@@ -55,25 +55,25 @@
 
     /// The version to compare in the store: 0 for a job that is not known.
     pub fn version(&self, id: &str) -> u64 {
-        self.jobs.get(id).map_or(0, |known| known.version)
+        self.jobs.get(id).map_or(0, |cached| cached.version)
     }
 
     pub fn is_done(&self, id: &str) -> bool {
-        self.jobs.get(id).is_some_and(|known| known.state == RecordState::Done)
+        self.jobs.get(id).is_some_and(|cached| cached.state == RecordState::Done)
     }
 
     /// Remembers a record unless a newer one is known; `most` bounds jobs and dependencies together.
-    pub fn insert(&mut self, id: &str, known: Known, most: usize) {
+    pub fn insert(&mut self, id: &str, cached: CachedJob, most: usize) {
         match self.jobs.get_mut(id) {
             // Final is final, and older answers may arrive late.
-            Some(old) if old.version >= known.version => return,
+            Some(old) if old.version >= cached.version => return,
             Some(old) => {
-                self.weight = self.weight - old.weight() + known.weight();
-                *old = known;
+                self.weight = self.weight - old.weight() + cached.weight();
+                *old = cached;
             }
             None => {
-                self.weight += known.weight();
-                self.jobs.insert(id.to_owned(), known);
+                self.weight += cached.weight();
+                self.jobs.insert(id.to_owned(), cached);
                 self.order.push_back(id.to_owned());
             }
         }
@@ -87,17 +87,17 @@
 
     /// Marks an open job as cancelled with one that it needs.
     pub fn cancel_with_ancestor(&mut self, id: &str, version: u64) {
-        if let Some(known) = self.jobs.get_mut(id).filter(|known| known.version <= version) {
-            self.weight -= known.awaits.len();
-            *known = Known::over(RecordState::Cancelled, known.tasks, version);
+        if let Some(cached) = self.jobs.get_mut(id).filter(|cached| cached.version <= version) {
+            self.weight -= cached.dependencies.len();
+            *cached = CachedJob::ended(RecordState::Cancelled, cached.tasks, version);
         }
     }
 
     /// The open jobs that a job needs, directly or through others.
-    pub fn ancestors(&self, known: &Known) -> Ancestors {
+    pub fn ancestors(&self, cached: &CachedJob) -> Ancestors {
         let mut open = Vec::new();
         let mut seen: BTreeSet<&String> = BTreeSet::new();
-        let mut left: Vec<&String> = known.awaits.iter().collect();
+        let mut left: Vec<&String> = cached.dependencies.iter().collect();
         while let Some(id) = left.pop() {
             if !seen.insert(id) {
                 continue;
@@ -107,7 +107,7 @@
                 Some(ancestor) if ancestor.state == RecordState::Done => {}
                 Some(ancestor) => {
                     open.push(id.clone());
-                    left.extend(ancestor.awaits.iter());
+                    left.extend(ancestor.dependencies.iter());
                 }
                 None => open.push(id.clone()),
             }
--- a/crates/core/src/users/cancel.rs
+++ b/crates/core/src/users/cancel.rs
@@ -2,8 +2,8 @@
 
 use rushyoke_wire::store::{Item, Txn};
 
-use super::known::Known;
-use super::{CHANGE_LIMIT, store_unsure};
+use super::cache::CachedJob;
+use super::{CHANGE_TIMEOUT, store_unresponsive};
 use crate::calls::{Purpose, UserCall};
 use crate::io::*;
 use crate::jobs::*;
@@ -11,12 +11,12 @@
 
 impl Node {
     pub(crate) fn cancel(&mut self, request: Req, id: String) {
-        if let Some(known) = self.users.end_of(&id) {
-            let answer = self.view(&id, &known);
+        if let Some(cached) = self.users.final_state(&id) {
+            let answer = self.job_view(&id, &cached);
             self.env.answer(request, answer);
             return;
         }
-        if self.open(request, CHANGE_LIMIT) {
+        if self.admit_request(request, CHANGE_TIMEOUT) {
             self.read_to_cancel(request, id);
         }
     }
@@ -26,18 +26,18 @@
         self.env.store(Purpose::User(UserCall::CancelRead { request, job }), Urgency::High, op);
     }
 
-    pub(super) fn cancel_read(&mut self, request: Req, job: String, outcome: Outcome<StoreAnswer>) {
+    pub(super) fn cancel_read_outcome(&mut self, request: Req, job: String, outcome: Outcome<StoreAnswer>) {
         match outcome {
             Outcome::Answered(StoreAnswer::Item(Some(item))) => self.write_cancellation(request, job, item),
             // Not live: over, or never accepted.
             Outcome::Answered(StoreAnswer::Item(None)) => self.look_up(request, job),
-            _ => self.close(request, store_unsure()),
+            _ => self.respond(request, store_unresponsive()),
         }
     }
 
     fn write_cancellation(&mut self, request: Req, job: String, item: Item) {
         let Ok(mut live) = serde_json::from_value::<LiveRecord>(item.value) else {
-            self.close(request, Answer::later(503, "the job's record cannot be read"));
+            self.respond(request, Answer::later(503, "the job's record cannot be read"));
             return;
         };
         if live.cancelled {
@@ -50,7 +50,7 @@
         if value.to_string().len() > self.env.facts.value_bytes {
             // Written when values could be larger; where it might have run matters no more.
             live.spec.types = None;
-            live.spec.awaits.clear();
+            live.spec.dependencies.clear();
             value = serde_json::to_value(live).expect("records always encode");
         }
         let record = JobRecord::over(RecordState::Cancelled, tasks);
@@ -64,21 +64,27 @@
         self.env.store(Purpose::User(call), Urgency::High, StoreOp::Txn(txn));
     }
 
-    pub(super) fn cancel_written(&mut self, request: Req, job: String, tasks: u32, outcome: Outcome<StoreAnswer>) {
+    pub(super) fn cancel_write_outcome(
+        &mut self,
+        request: Req,
+        job: String,
+        tasks: u32,
+        outcome: Outcome<StoreAnswer>,
+    ) {
         match outcome {
             Outcome::Answered(StoreAnswer::Committed(version)) => {
-                let known = Known::over(RecordState::Cancelled, tasks, version);
-                self.users.known.insert(&job, known.clone(), self.env.policy.known_jobs);
+                let cached = CachedJob::ended(RecordState::Cancelled, tasks, version);
+                self.users.cache.insert(&job, cached.clone(), self.env.policy.known_jobs);
                 self.users.progress.remove(&job);
-                self.found(&job, Some(known), vec![request]);
+                self.respond_with_job(&job, Some(cached), vec![request]);
             }
             Outcome::Answered(StoreAnswer::Refused(_)) => {
                 // It changed in between; look once more while the user waits.
-                if self.users.open.contains_key(&request) {
+                if self.users.pending.contains_key(&request) {
                     self.read_to_cancel(request, job);
                 }
             }
-            _ => self.close(request, store_unsure()),
+            _ => self.respond(request, store_unresponsive()),
         }
     }
 }
--- a/crates/core/src/users/lookup.rs
+++ b/crates/core/src/users/lookup.rs
@@ -10,18 +10,18 @@
 use rushyoke_wire::job::{JobStatus, JobView};
 use rushyoke_wire::store::Txn;
 
-use super::known::{Ancestors, Known};
-use super::lookups::{Lookup, Refresh, Round};
-use super::store_unsure;
+use super::cache::{Ancestors, CachedJob};
+use super::lookup_queue::{AncestorRefresh, Lookup, LookupRound};
+use super::store_unresponsive;
 use crate::calls::{Purpose, UserCall};
 use crate::io::*;
 use crate::jobs::*;
 use crate::node::Node;
 
 /// Keys compared by one transaction, where the store takes so many conditions.
-const COMPARED: usize = 48;
+const MAX_CONDITIONS: usize = 48;
 /// Records of ancestors that are read at a time.
-const READ_AT_ONCE: usize = 32;
+const MAX_ANCESTOR_READS: usize = 32;
 
 impl Node {
     pub(super) fn look_up(&mut self, request: Req, job: String) {
@@ -31,7 +31,7 @@
 
     /// Looks a job up again for those of its requests that still wait.
     fn look_up_again(&mut self, job: String, mut requests: Vec<Req>) {
-        requests.retain(|request| self.users.open.contains_key(request));
+        requests.retain(|request| self.users.pending.contains_key(request));
         if !requests.is_empty() {
             self.users.lookups.push(job, requests);
         }
@@ -44,11 +44,11 @@
         if self.users.lookups.round.is_some() || self.users.lookups.queue.is_empty() {
             return;
         }
-        let (lookups, compared) = self.take_lookups();
+        let (lookups, compared) = self.next_lookups();
         let compared: Vec<String> = compared.into_iter().collect();
-        let mut round = Round { lookups, ..Round::default() };
-        for jobs in compared.chunks(self.conditions_at_once()) {
-            let txn = self.compare(jobs);
+        let mut round = LookupRound { lookups, ..LookupRound::default() };
+        for jobs in compared.chunks(self.max_conditions()) {
+            let txn = self.comparison(jobs);
             round.outstanding += 1;
             let call = UserCall::Compare { jobs: jobs.to_vec() };
             self.env.store(Purpose::User(call), Urgency::High, StoreOp::Txn(txn));
@@ -56,25 +56,25 @@
         self.users.lookups.round = Some(round);
     }
 
-    fn conditions_at_once(&self) -> usize {
-        COMPARED.min(self.env.facts.txn_ops * 4)
+    fn max_conditions(&self) -> usize {
+        MAX_CONDITIONS.min(self.env.facts.txn_ops * 4)
     }
 
-    fn compare(&self, jobs: &[String]) -> Txn {
-        let condition = |txn: Txn, job: &String| txn.when(job_key(job), self.users.known.version(job));
+    fn comparison(&self, jobs: &[String]) -> Txn {
+        let condition = |txn: Txn, job: &String| txn.when(job_key(job), self.users.cache.version(job));
         jobs.iter().fold(Txn::default(), condition)
     }
 
     /// The jobs of the next round and all keys that they need compared. The first may need more than
     /// one transaction holds; others join while its transactions have room, as those of a long
     /// chain do, which share their ancestors.
-    fn take_lookups(&mut self) -> (Vec<Lookup>, BTreeSet<String>) {
-        let at_once = self.conditions_at_once();
+    fn next_lookups(&mut self) -> (Vec<Lookup>, BTreeSet<String>) {
+        let at_once = self.max_conditions();
         let (mut lookups, mut compared) = (Vec::new(), BTreeSet::new());
         let mut most = 0;
         while let Some(job) = self.users.lookups.queue.pop_front() {
-            let known = self.users.known.get(&job).cloned();
-            let ancestors = match known.as_ref().map(|known| self.users.known.ancestors(known)) {
+            let cached = self.users.cache.get(&job).cloned();
+            let ancestors = match cached.as_ref().map(|cached| self.users.cache.ancestors(cached)) {
                 Some(Ancestors::Open(ancestors)) => ancestors,
                 Some(Ancestors::Cancelled) | None => Vec::new(),
             };
@@ -88,13 +88,13 @@
             compared.extend(ancestors.iter().cloned());
             compared.insert(job.clone());
             let requests = self.users.lookups.requests.remove(&job).unwrap_or_default();
-            lookups.push(Lookup { job, known, ancestors, requests });
+            lookups.push(Lookup { job, cached, ancestors, requests });
         }
         (lookups, compared)
     }
 
     /// A transaction of the round has an outcome.
-    pub(super) fn compared(&mut self, jobs: Vec<String>, outcome: Outcome<StoreAnswer>) {
+    pub(super) fn comparison_outcome(&mut self, jobs: Vec<String>, outcome: Outcome<StoreAnswer>) {
         let Some(round) = &mut self.users.lookups.round else { return };
         round.outstanding -= 1;
         match outcome {
@@ -113,11 +113,11 @@
         }
     }
 
-    fn end_round(&mut self, round: Round) {
-        let Round { lookups, unchanged, changed, unanswered, .. } = round;
-        let mut refresh = Refresh::default();
+    fn end_round(&mut self, round: LookupRound) {
+        let LookupRound { lookups, unchanged, changed, unanswered, .. } = round;
+        let mut refresh = AncestorRefresh::default();
         let mut stale: BTreeSet<String> = BTreeSet::new();
-        for Lookup { job, known, ancestors, requests } in lookups {
+        for Lookup { job, cached, ancestors, requests } in lookups {
             let before = stale.len();
             stale.extend(ancestors.iter().filter(|id| changed.contains(*id)).cloned());
             if changed.contains(&job) {
@@ -125,7 +125,7 @@
             } else if stale.len() > before || ancestors.iter().any(|id| stale.contains(id)) {
                 refresh.lookups.push((job, requests));
             } else if unchanged.contains(&job) && ancestors.iter().all(|id| unchanged.contains(id)) {
-                self.found(&job, known, requests);
+                self.respond_with_job(&job, cached, requests);
             } else if unanswered {
                 self.fail_requests(requests);
             } else {
@@ -138,10 +138,10 @@
     }
 
     /// Reads ancestors again. What is left of many is found changed by the next round.
-    fn refresh(&mut self, mut refresh: Refresh, stale: BTreeSet<String>) {
+    fn refresh(&mut self, mut refresh: AncestorRefresh, stale: BTreeSet<String>) {
         self.users.lookups.last_refresh += 1;
         let group = self.users.lookups.last_refresh;
-        for job in stale.into_iter().take(READ_AT_ONCE) {
+        for job in stale.into_iter().take(MAX_ANCESTOR_READS) {
             refresh.outstanding += 1;
             let op = StoreOp::Get(job_key(&job));
             self.env.store(Purpose::User(UserCall::Refresh { job, group }), Urgency::High, op);
@@ -149,14 +149,14 @@
         self.users.lookups.refreshes.insert(group, refresh);
     }
 
-    pub(super) fn refreshed(&mut self, job: &str, group: u64, outcome: Outcome<StoreAnswer>) {
-        let learned = match outcome {
-            Outcome::Answered(StoreAnswer::Item(Some(item))) => self.learn_item(job, item).is_some(),
+    pub(super) fn refresh_outcome(&mut self, job: &str, group: u64, outcome: Outcome<StoreAnswer>) {
+        let record_read = match outcome {
+            Outcome::Answered(StoreAnswer::Item(Some(item))) => self.cache_record(job, item).is_some(),
             _ => false,
         };
         let Some(refresh) = self.users.lookups.refreshes.get_mut(&group) else { return };
         refresh.outstanding -= 1;
-        refresh.failed |= !learned;
+        refresh.failed |= !record_read;
         if refresh.outstanding > 0 {
             return;
         }
@@ -178,9 +178,9 @@
 
     pub(super) fn read_outcome(&mut self, job: String, requests: Vec<Req>, outcome: Outcome<StoreAnswer>) {
         match outcome {
-            Outcome::Answered(StoreAnswer::Item(None)) => self.found(&job, None, requests),
-            Outcome::Answered(StoreAnswer::Item(Some(item))) => match self.learn_item(&job, item) {
-                Some(known) => self.learned(job, known, requests),
+            Outcome::Answered(StoreAnswer::Item(None)) => self.respond_with_job(&job, None, requests),
+            Outcome::Answered(StoreAnswer::Item(Some(item))) => match self.cache_record(&job, item) {
+                Some(cached) => self.record_read(job, cached, requests),
                 None => self.fail_requests(requests),
             },
             _ => self.fail_requests(requests),
@@ -188,9 +188,9 @@
     }
 
     /// A record was read while the requests waited. What it needs may be cancelled.
-    pub(super) fn learned(&mut self, job: String, known: Known, requests: Vec<Req>) {
-        if known.awaits.is_empty() {
-            self.found(&job, Some(known), requests);
+    pub(super) fn record_read(&mut self, job: String, cached: CachedJob, requests: Vec<Req>) {
+        if cached.dependencies.is_empty() {
+            self.respond_with_job(&job, Some(cached), requests);
         } else {
             self.look_up_again(job, requests);
             self.begin_round();
@@ -199,41 +199,42 @@
 
     /// Answers requests that came before the job's state, which was found, was looked up. What
     /// is known since may be newer.
-    pub(super) fn found(&mut self, id: &str, found: Option<Known>, requests: Vec<Req>) {
-        let all = self.users.known.get(id).cloned().into_iter().chain(found);
-        let newest = all.max_by_key(|known| (known.version, known.state != RecordState::Open));
+    pub(super) fn respond_with_job(&mut self, id: &str, newest_read: Option<CachedJob>, requests: Vec<Req>) {
+        let all = self.users.cache.get(id).cloned().into_iter().chain(newest_read);
+        let newest = all.max_by_key(|cached| (cached.version, cached.state != RecordState::Open));
         let answer = match newest {
-            Some(known) => {
-                let known = self.users.conclude(id, known);
-                self.view(id, &known)
+            Some(cached) => {
+                let cached = self.users.apply_ancestor_cancellation(id, cached);
+                self.job_view(id, &cached)
             }
             None => Answer::error(404, "no such job"),
         };
         for request in requests {
-            self.close(request, answer.clone());
+            self.respond(request, answer.clone());
         }
     }
 
     pub(super) fn fail_requests(&mut self, requests: Vec<Req>) {
         for request in requests {
-            self.close(request, store_unsure());
+            self.respond(request, store_unresponsive());
         }
     }
 
     /// What a user is told of a job.
-    pub(super) fn view(&self, id: &str, known: &Known) -> Answer {
-        let (done, running) = match (known.state, self.term.as_ref().and_then(|term| term.jobs.get(id))) {
-            (RecordState::Done, _) => (known.tasks, 0),
+    pub(super) fn job_view(&self, id: &str, cached: &CachedJob) -> Answer {
+        let (done, running) = match (cached.state, self.term.as_ref().and_then(|term| term.jobs.get(id))) {
+            (RecordState::Done, _) => (cached.tasks, 0),
             (_, Some(job)) => (job.done_count, job.running),
             _ => self.users.progress.get(id).copied().unwrap_or_default(),
         };
-        let state = match known.state {
+        let state = match cached.state {
             RecordState::Done => JobStatus::Done,
             RecordState::Cancelled => JobStatus::Cancelled,
             RecordState::Open if running > 0 => JobStatus::Running,
             RecordState::Open => JobStatus::Queued,
         };
-        let awaits = known.awaits.iter().filter(|dependency| !self.users.known.is_done(dependency)).cloned().collect();
-        Answer::json(200, &JobView { id: id.to_owned(), state, done: Some(done), running: Some(running), awaits })
+        let dependencies =
+            cached.dependencies.iter().filter(|dependency| !self.users.cache.is_done(dependency)).cloned().collect();
+        Answer::json(200, &JobView { id: id.to_owned(), state, done: Some(done), running: Some(running), dependencies })
     }
 }
--- a/crates/core/src/users/lookups.rs
+++ b/crates/core/src/users/lookup_queue.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use super::known::Known;
+use super::cache::CachedJob;
 use crate::io::Req;
 
 /// A job whose cached state is compared, and the requests that wait for it. The state is kept here,
@@ -10,7 +10,7 @@
 #[derive(Debug)]
 pub(super) struct Lookup {
     pub(super) job: String,
-    pub(super) known: Option<Known>,
+    pub(super) cached: Option<CachedJob>,
     /// Open jobs that it needs, directly or through others.
     pub(super) ancestors: Vec<String>,
     pub(super) requests: Vec<Req>,
@@ -18,7 +18,7 @@
 
 /// Lookups whose keys are compared together, in as many transactions as they take.
 #[derive(Debug, Default)]
-pub(super) struct Round {
+pub(super) struct LookupRound {
     pub(super) lookups: Vec<Lookup>,
     /// Transactions that have no outcome yet.
     pub(super) outstanding: usize,
@@ -32,7 +32,7 @@
 
 /// Records of ancestors that are read again, and the lookups that wait for them.
 #[derive(Debug, Default)]
-pub(super) struct Refresh {
+pub(super) struct AncestorRefresh {
     pub(super) outstanding: usize,
     pub(super) lookups: Vec<(String, Vec<Req>)>,
     pub(super) failed: bool,
@@ -40,17 +40,17 @@
 
 /// Lookups of a node.
 #[derive(Default)]
-pub(super) struct Lookups {
+pub(super) struct LookupQueue {
     /// Requests by job, for the next round.
     pub(super) requests: BTreeMap<String, Vec<Req>>,
     /// The same jobs in the order in which they came.
     pub(super) queue: VecDeque<String>,
-    pub(super) round: Option<Round>,
-    pub(super) refreshes: BTreeMap<u64, Refresh>,
+    pub(super) round: Option<LookupRound>,
+    pub(super) refreshes: BTreeMap<u64, AncestorRefresh>,
     pub(super) last_refresh: u64,
 }
 
-impl Lookups {
+impl LookupQueue {
     pub(super) fn push(&mut self, job: String, requests: impl IntoIterator<Item = Req>) {
         let waiting = self.requests.entry(job.clone()).or_default();
         if waiting.is_empty() {
--- a/crates/core/src/users/submit.rs
+++ b/crates/core/src/users/submit.rs
@@ -9,8 +9,8 @@
 use rushyoke_wire::job::{JobSpec, JobStatus, JobView, Kind};
 use rushyoke_wire::store::Txn;
 
-use super::known::Known;
-use super::{CHANGE_LIMIT, store_unsure};
+use super::cache::CachedJob;
+use super::{CHANGE_TIMEOUT, store_unresponsive};
 use crate::calls::{Admission, Creation, Purpose, UserCall};
 use crate::env::Env;
 use crate::io::*;
@@ -19,21 +19,21 @@
 use crate::quota::{Room, SLACK};
 
 /// Dependencies looked for by one transaction, where the store takes so many conditions.
-const DEPENDENCIES_AT_ONCE: usize = 48;
+const MAX_DEPENDENCY_CONDITIONS: usize = 48;
 /// Bytes of a transaction. A job is created by one that writes what it awaits twice.
-const TRANSACTION_BYTES: usize = 60 * 1024;
+const MAX_TRANSACTION_BYTES: usize = 60 * 1024;
 /// Bytes that a cancellation may add to a job's description.
-const CANCELLATION_BYTES: usize = 16;
+const CANCELLATION_EXTRA_BYTES: usize = 16;
 
 impl Node {
     pub(crate) fn submit(&mut self, request: Req, spec: JobSpec) {
-        if let Some(known) = self.users.end_of(&spec.id) {
-            let answer = self.view(&spec.id, &known);
+        if let Some(cached) = self.users.final_state(&spec.id) {
+            let answer = self.job_view(&spec.id, &cached);
             self.env.answer(request, answer);
             return;
         }
-        if self.users.known.contains(&spec.id) {
-            if self.open(request, CHANGE_LIMIT) {
+        if self.users.cache.contains(&spec.id) {
+            if self.admit_request(request, CHANGE_TIMEOUT) {
                 self.look_up(request, spec.id);
             }
             return;
@@ -42,10 +42,10 @@
             self.env.answer(request, Answer::later(503, "machine types are not known yet"));
             return;
         }
-        if !self.open(request, CHANGE_LIMIT) {
+        if !self.admit_request(request, CHANGE_TIMEOUT) {
             return;
         }
-        match can_run(&self.env, &spec).and_then(|()| can_store(&self.env, &spec)) {
+        match check_runnable(&self.env, &spec).and_then(|()| check_storable(&self.env, &spec)) {
             Ok(()) => self.admit(Admission { request, spec: Box::new(spec), accepted: BTreeSet::new() }),
             Err(refusal) => self.refuse(request, spec.id, refusal.answer()),
         }
@@ -54,9 +54,9 @@
     /// Creates a job, or first looks for those of its dependencies that this node does not know.
     fn admit(&mut self, admission: Admission) {
         let Admission { request, spec, accepted } = &admission;
-        let most = DEPENDENCIES_AT_ONCE.min(self.env.facts.txn_ops * 4);
-        let unknown = |id: &&String| !self.users.known.contains(id) && !accepted.contains(*id);
-        let asked: Vec<String> = spec.awaits.iter().filter(unknown).take(most).cloned().collect();
+        let most = MAX_DEPENDENCY_CONDITIONS.min(self.env.facts.txn_ops * 4);
+        let unknown = |id: &&String| !self.users.cache.contains(id) && !accepted.contains(*id);
+        let asked: Vec<String> = spec.dependencies.iter().filter(unknown).take(most).cloned().collect();
         if asked.is_empty() {
             let request = *request;
             self.create(request, *admission.spec);
@@ -77,7 +77,7 @@
         let request = admission.request;
         match outcome {
             Outcome::Answered(StoreAnswer::Committed(_)) => {
-                let refusal = Refusal::NeverAccepted(asked.into_iter().next().unwrap_or_default());
+                let refusal = Refusal::UnknownDependency(asked.into_iter().next().unwrap_or_default());
                 self.refuse(request, admission.spec.id, refusal.answer());
             }
             Outcome::Answered(StoreAnswer::Refused(failed)) => {
@@ -85,18 +85,18 @@
                 let exists = |id: &String| failed.contains(&job_key(id));
                 admission.accepted.extend(asked.into_iter().filter(exists));
                 if admission.accepted.len() == before {
-                    self.close(request, store_unsure());
-                } else if self.users.open.contains_key(&request) {
+                    self.respond(request, store_unresponsive());
+                } else if self.users.pending.contains_key(&request) {
                     self.admit(admission);
                 }
             }
-            _ => self.close(request, store_unsure()),
+            _ => self.respond(request, store_unresponsive()),
         }
     }
 
     fn create(&mut self, request: Req, spec: JobSpec) {
-        let (job, tasks, awaits) = (spec.id.clone(), spec.tasks, spec.awaits.clone());
-        if self.users.full {
+        let (job, tasks, awaits) = (spec.id.clone(), spec.tasks, spec.dependencies.clone());
+        if self.users.job_limit_reached {
             self.refuse(request, job, Answer::later(429, "too many unfinished jobs"));
             return;
         }
@@ -114,17 +114,17 @@
         let Creation { request, job, tasks, awaits } = creation;
         match outcome {
             Outcome::Answered(StoreAnswer::Committed(version)) => {
-                let known = Known { state: RecordState::Open, tasks, version, awaits };
-                self.users.known.insert(&job, known.clone(), self.env.policy.known_jobs);
-                let state = match self.users.conclude(&job, known).state {
+                let cached = CachedJob { state: RecordState::Open, tasks, version, dependencies: awaits };
+                self.users.cache.insert(&job, cached.clone(), self.env.policy.known_jobs);
+                let state = match self.users.apply_ancestor_cancellation(&job, cached).state {
                     RecordState::Cancelled => JobStatus::Cancelled,
                     _ => JobStatus::Queued,
                 };
-                let view = JobView { id: job, state, done: None, running: None, awaits: Vec::new() };
-                self.close(request, Answer::json(201, &view));
+                let view = JobView { id: job, state, done: None, running: None, dependencies: Vec::new() };
+                self.respond(request, Answer::json(201, &view));
             }
             Outcome::Answered(StoreAnswer::Refused(_)) => self.look_up(request, job),
-            _ => self.close(request, store_unsure()),
+            _ => self.respond(request, store_unresponsive()),
         }
     }
 
@@ -136,14 +136,14 @@
 
     pub(super) fn refuse_outcome(&mut self, request: Req, job: String, answer: Answer, outcome: Outcome<StoreAnswer>) {
         let Outcome::Answered(StoreAnswer::Item(item)) = outcome else {
-            self.close(request, store_unsure());
+            self.respond(request, store_unresponsive());
             return;
         };
-        match item.map(|item| self.learn_item(&job, item)) {
-            None => self.close(request, answer),
-            Some(Some(known)) => self.learned(job, known, vec![request]),
+        match item.map(|item| self.cache_record(&job, item)) {
+            None => self.respond(request, answer),
+            Some(Some(cached)) => self.record_read(job, cached, vec![request]),
             // It was accepted, whatever its record says.
-            Some(None) => self.close(request, store_unsure()),
+            Some(None) => self.respond(request, store_unresponsive()),
         }
     }
 }
@@ -153,12 +153,12 @@
 enum Refusal {
     UnknownTeam,
     FitsNoMachineType,
-    BeyondTeamLimit,
-    TogetherAndScattered,
-    ScatteredInOneZone,
-    AwaitsItself,
+    ExceedsQuota,
+    OneZoneAndSpread,
+    SpreadInOneZone,
+    DependsOnItself,
     /// A job that it awaits.
-    NeverAccepted(String),
+    UnknownDependency(String),
     /// Bytes that a description may take.
     TooLarge(usize),
 }
@@ -175,11 +175,11 @@
         match self {
             Refusal::UnknownTeam => f.write_str("crew: unknown team"),
             Refusal::FitsNoMachineType => f.write_str("a task fits no allowed machine type"),
-            Refusal::BeyondTeamLimit => f.write_str("the job needs more than its team's limit"),
-            Refusal::TogetherAndScattered => f.write_str("together and scatter exclude each other"),
-            Refusal::ScatteredInOneZone => f.write_str("scatter needs more than one zone"),
-            Refusal::AwaitsItself => f.write_str("awaits: names the job itself"),
-            Refusal::NeverAccepted(id) => write!(f, "awaits: {id} was never accepted"),
+            Refusal::ExceedsQuota => f.write_str("the job needs more than its team's limit"),
+            Refusal::OneZoneAndSpread => f.write_str("together and scatter exclude each other"),
+            Refusal::SpreadInOneZone => f.write_str("scatter needs more than one zone"),
+            Refusal::DependsOnItself => f.write_str("awaits: names the job itself"),
+            Refusal::UnknownDependency(id) => write!(f, "awaits: {id} was never accepted"),
             Refusal::TooLarge(most) => {
                 write!(f, "the description is too large: with all that it awaits it may take {most} bytes")
             }
@@ -188,7 +188,7 @@
 }
 
 /// Whether the job can ever run; if not, why.
-fn can_run(env: &Env, spec: &JobSpec) -> Result<(), Refusal> {
+fn check_runnable(env: &Env, spec: &JobSpec) -> Result<(), Refusal> {
     let need = Room::of(spec);
     let Some(team) = env.facts.teams.get(&spec.team) else {
         return Err(Refusal::UnknownTeam);
@@ -204,25 +204,25 @@
     }
     let tasks = if spec.kind == Kind::Service { f64::from(spec.tasks) } else { 1.0 };
     if need.cpus * tasks > team.cpus_max + SLACK || need.gpus * tasks > team.gpus_max + SLACK {
-        return Err(Refusal::BeyondTeamLimit);
+        return Err(Refusal::ExceedsQuota);
     }
     if spec.one_zone && spec.spread && spec.tasks > 1 {
-        return Err(Refusal::TogetherAndScattered);
+        return Err(Refusal::OneZoneAndSpread);
     }
     if spec.zone.is_some() && spec.spread && spec.tasks > 1 && spec.kind == Kind::Service {
-        return Err(Refusal::ScatteredInOneZone);
+        return Err(Refusal::SpreadInOneZone);
     }
-    if spec.awaits.contains(&spec.id) {
-        return Err(Refusal::AwaitsItself);
+    if spec.dependencies.contains(&spec.id) {
+        return Err(Refusal::DependsOnItself);
     }
     Ok(())
 }
 
 /// Whether a value of the store, and the transaction, hold the description; the answer depends on nothing but the settings,
 /// so that every node and every repeat gives the same.
-fn can_store(env: &Env, spec: &JobSpec) -> Result<(), Refusal> {
+fn check_storable(env: &Env, spec: &JobSpec) -> Result<(), Refusal> {
     let live = LiveRecord { at_ms: env.now.wall_ms, cancelled: false, spec: spec.clone() };
     let size = serde_json::to_vec(&live).expect("records always encode").len();
-    let most = env.facts.value_bytes.min(TRANSACTION_BYTES / 2).saturating_sub(CANCELLATION_BYTES);
+    let most = env.facts.value_bytes.min(MAX_TRANSACTION_BYTES / 2).saturating_sub(CANCELLATION_EXTRA_BYTES);
     if size > most { Err(Refusal::TooLarge(most)) } else { Ok(()) }
 }
--- a/crates/core/tests/balance/bursts.rs
+++ b/crates/core/tests/balance/bursts.rs
@@ -176,7 +176,7 @@
     world.cloud.capacity = 4;
     world.run(secs(6));
     // All of them save their progress, so that nothing but their kind keeps them where they are.
-    let saves = |spec: JobSpec| JobSpec { checkpoint_s: 10.0, save_s: 0.5, spot: false, ..spec };
+    let saves = |spec: JobSpec| JobSpec { checkpoint_interval_s: 10.0, save_s: 0.5, spot: false, ..spec };
     let kept = [
         saves(JobSpec { estimate_s: 300.0, ..service(1, 8) }),
         saves(JobSpec { priority: Priority::Normal, estimate_s: 300.0, ..service(2, 8) }),
--- a/crates/core/tests/balance/support.rs
+++ b/crates/core/tests/balance/support.rs
@@ -28,7 +28,7 @@
 
 /// A job whose tasks save their progress.
 pub fn saving(id: u32, tasks: u32) -> JobSpec {
-    JobSpec { checkpoint_s: 10.0, save_s: 2.0, spot: false, estimate_s: 300.0, ..job(id, tasks) }
+    JobSpec { checkpoint_interval_s: 10.0, save_s: 2.0, spot: false, estimate_s: 300.0, ..job(id, tasks) }
 }
 
 /// Where each task ran, one machine after the other.
--- a/crates/core/tests/cancellations.rs
+++ b/crates/core/tests/cancellations.rs
@@ -155,7 +155,7 @@
     let mut world = World::new(2);
     world.run(secs(6));
     world.workers.values_mut().for_each(|worker| worker.run_s = 200.0);
-    let spec = rushyoke_wire::job::JobSpec { checkpoint_s: 5.0, save_s: 25.0, estimate_s: 200.0, ..job(1, 2) };
+    let spec = rushyoke_wire::job::JobSpec { checkpoint_interval_s: 5.0, save_s: 25.0, estimate_s: 200.0, ..job(1, 2) };
     world.submit(0, spec);
     world.run(secs(4));
     let (_, machine) = world.where_runs("wk-000001")[0].clone();
--- a/crates/core/tests/failover/leaders.rs
+++ b/crates/core/tests/failover/leaders.rs
@@ -217,7 +217,7 @@
     let policy = Policy { balance, headroom_machines: 1000.0, ..on() };
     let mut world = fleet(12, policy);
     let saving = |id, team: &str| JobSpec {
-        checkpoint_s: 10.0,
+        checkpoint_interval_s: 10.0,
         save_s: 1.0,
         team: team.into(),
         ..long(id, 50, Priority::Normal)
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -31,7 +31,7 @@
     world.store.revision = world.store.rows.values().map(|row| row.1).max().unwrap_or_default();
     (world.store.max_ops, world.store.max_value) = (5, 2048);
     world.run(secs(50));
-    assert_eq!(world.submit(1, JobSpec { awaits: vec![job_id(5), job_id(6)], ..job(10, 5) }), Some(201));
+    assert_eq!(world.submit(1, JobSpec { dependencies: vec![job_id(5), job_id(6)], ..job(10, 5) }), Some(201));
     let questions: Vec<String> = (1..40).map(job_id).collect();
     assert_eq!(world.ask_all(0, &questions).len(), 39, "more than one comparison takes");
     assert!(world.cancel(1, &job_id(4)).is_some());
--- a/crates/core/tests/mixes.rs
+++ b/crates/core/tests/mixes.rs
@@ -69,7 +69,7 @@
 /// Whether a job, or one that it needs directly or through others, is one of these.
 fn needs_one_of(world: &World, id: &str, ids: &[u32]) -> bool {
     let listed = ids.iter().any(|listed| format!("wk-{listed:06}") == id);
-    listed || world.specs[id].awaits.iter().any(|dep| needs_one_of(world, dep, ids))
+    listed || world.specs[id].dependencies.iter().any(|dep| needs_one_of(world, dep, ids))
 }
 
 fn mix(seed: u64) {
@@ -91,7 +91,7 @@
             let awaited = if rng.random_range(0..3) == 0 { rng.random_range(1..4) } else { 0 };
             for _ in 0..awaited {
                 let dep = submitted.get(rng.random_range(0..=submitted.len())).map(|(dep, _)| format!("wk-{dep:06}"));
-                spec.awaits.extend(dep.filter(|dep| world.specs[dep].kind == Kind::Array));
+                spec.dependencies.extend(dep.filter(|dep| world.specs[dep].kind == Kind::Array));
             }
             if matches!(world.submit(rng.random_range(0..3), spec), Some(200 | 201)) {
                 submitted.push((id, tasks));
--- a/crates/core/tests/pipelines.rs
+++ b/crates/core/tests/pipelines.rs
@@ -26,7 +26,7 @@
     world.run(secs(3));
     assert_eq!(world.where_runs(&job_id(1)).len(), 3);
     let view = world.status(1, &job_id(4)).and_then(|(_, view)| view).expect("a state");
-    assert_eq!((view.state, view.awaits), (JobStatus::Queued, vec![job_id(2), job_id(3)]));
+    assert_eq!((view.state, view.dependencies), (JobStatus::Queued, vec![job_id(2), job_id(3)]));
     // A team's whole limit is free for others meanwhile.
     world.cloud.capacity = 8;
     assert_eq!(world.submit(0, JobSpec { cpus: 60.0 / 16.0, ..service(9, 16) }), Some(201));
--- a/crates/core/tests/soak.rs
+++ b/crates/core/tests/soak.rs
@@ -185,7 +185,7 @@
         let tasks = rng.random_range(2..=8);
         let saves = if rng.random_range(0..2) == 0 { 5.0 } else { 0.0 };
         let spec = if number % 2 == 0 { service(number, tasks.min(4)) } else { job(number, tasks) };
-        world.submit(0, JobSpec { checkpoint_s: saves, save_s: saves, ..spec });
+        world.submit(0, JobSpec { checkpoint_interval_s: saves, save_s: saves, ..spec });
     }
     world.run(secs(8));
     let began = world.now;
--- a/crates/core/tests/stops.rs
+++ b/crates/core/tests/stops.rs
@@ -153,8 +153,13 @@
 
 #[test]
 fn a_lost_stop_with_grace_is_repeated_to_a_machine_whose_reports_reach_nobody() {
-    let saving =
-        JobSpec { priority: Priority::BestEffort, checkpoint_s: 5.0, save_s: 5.0, estimate_s: 200.0, ..job(1, 16) };
+    let saving = JobSpec {
+        priority: Priority::BestEffort,
+        checkpoint_interval_s: 5.0,
+        save_s: 5.0,
+        estimate_s: 200.0,
+        ..job(1, 16)
+    };
     let (mut world, _) = at_work(1, saving);
     world.cloud.capacity = 1;
     let (_, machine) = world.where_runs("wk-000001")[0].clone();
--- a/crates/core/tests/upgrade.rs
+++ b/crates/core/tests/upgrade.rs
@@ -8,7 +8,7 @@
 
 use rushyoke_testkit::{Task, World, all, dependent, job, job_id, secs, service};
 use rushyoke_wire::job::{JobSpec, JobStatus, Kind};
-use rushyoke_wire::peer::{PeerRequest, PeerResponse, Relay, RelayResponse, decode, encode};
+use rushyoke_wire::peer::{PeerRequest, PeerResponse, RelayRequest, RelayResponse, decode, encode};
 use rushyoke_wire::worker::TaskState;
 use serde_json::Value;
 
@@ -54,7 +54,7 @@
             }
             if let Some(id) = key.strip_prefix("live/") {
                 let spec: JobSpec = serde_json::from_value(value["spec"].clone()).expect("a description");
-                world.rules.earlier_awaits(id, &spec.awaits);
+                world.rules.earlier_awaits(id, &spec.dependencies);
                 world.specs.insert(id.into(), spec);
             }
             if key.starts_with("log/") {
@@ -103,7 +103,7 @@
     assert!(begun >= 10, "its tasks are at work");
     assert!(world.where_runs(&job_id(4)).is_empty(), "what it cancelled is stopped");
     assert_eq!((world.where_runs(&job_id(1)).len(), world.where_runs(&job_id(7)).len()), (3, 2));
-    assert_eq!(world.submit(1, JobSpec { awaits: vec![job_id(6), job_id(2)], ..job(40, 2) }), Some(201));
+    assert_eq!(world.submit(1, JobSpec { dependencies: vec![job_id(6), job_id(2)], ..job(40, 2) }), Some(201));
     assert_eq!(world.submit(2, service(1, 3)), Some(200));
     world.run(secs(25));
     for id in [2, 3, 5, 6, 29, 40] {
@@ -140,12 +140,12 @@
 fn messages_between_controllers_have_the_layout_of_earlier_versions() {
     for fixture in [Fixture::before_awaits(), Fixture::with_awaits()] {
         let ask: PeerRequest = decode(&fixture.message("peer_ask")).expect("a question");
-        assert_eq!((ask.token, ask.full, ask.progress[0].running), (Some(41), true, 13));
+        assert_eq!((ask.token, ask.job_limit_reached, ask.progress[0].running), (Some(41), true, 13));
         assert_eq!(encode(&ask), fixture.message("peer_ask"));
         let tell: PeerResponse = decode(&fixture.message("peer_tell")).expect("an answer");
-        assert_eq!((tell.incarnation, tell.relays_to, tell.busy), (99, Some(41), 35));
+        assert_eq!((tell.incarnation, tell.relays_to, tell.busy_percent), (99, Some(41), 35));
         assert_eq!(encode(&tell), fixture.message("peer_tell"));
-        let relay: Relay = decode(&fixture.message("relay")).expect("reports");
+        let relay: RelayRequest = decode(&fixture.message("relay")).expect("reports");
         assert_eq!(relay.reports[0].full.as_ref().map(|full| full.tasks.len()), Some(2));
         assert_eq!(encode(&relay), fixture.message("relay"));
         let told: RelayResponse = decode(&fixture.message("relay_told")).expect("answers");
@@ -174,7 +174,7 @@
     world.run(secs(6));
     world.submit(0, service(1, 3));
     world.submit(1, job(2, 100));
-    world.submit(2, JobSpec { awaits: vec![job_id(2)], ..job(3, 2) });
+    world.submit(2, JobSpec { dependencies: vec![job_id(2)], ..job(3, 2) });
     world.run(secs(14));
     world.submit(0, service(4, 2));
     world.run(secs(3));
@@ -209,8 +209,8 @@
     world.run(secs(6));
     world.workers.values_mut().for_each(|worker| worker.run_s = 30.0);
     world.submit(0, job(1, 2));
-    world.submit(1, JobSpec { awaits: vec![job_id(1)], ..job(2, 2) });
-    world.submit(2, JobSpec { awaits: vec![job_id(2)], ..job(3, 2) });
+    world.submit(1, JobSpec { dependencies: vec![job_id(1)], ..job(2, 2) });
+    world.submit(2, JobSpec { dependencies: vec![job_id(2)], ..job(3, 2) });
     world.run(secs(2));
     let leader = world.leader().expect("a leader");
     world.crash(leader);
--- a/crates/rushyoke/src/outside.rs
+++ b/crates/rushyoke/src/outside.rs
@@ -8,8 +8,8 @@
 use bytes::Bytes;
 use hyper::Method;
 use rushyoke_core::{CloudAnswer, CloudOp, Outcome, StoreAnswer, StoreOp};
-use rushyoke_wire::cloud::{Listing, Names, Types};
-use rushyoke_wire::peer::{PeerRequest, PeerResponse, Relay, RelayResponse, decode, encode};
+use rushyoke_wire::cloud::{Listing, MachineNames, MachineTypes};
+use rushyoke_wire::peer::{PeerRequest, PeerResponse, RelayRequest, RelayResponse, decode, encode};
 use rushyoke_wire::store::{Changes, Committed, Item, Lease, NewLease, Page, Refused};
 use rushyoke_wire::worker::{Orders, Report};
 use serde::Serialize;
@@ -123,9 +123,13 @@
     let request = match &op {
         CloudOp::Types => outgoing(addr, Method::GET, "/flavors", Vec::new(), CLOUD_WAIT),
         CloudOp::Rent(rental) => outgoing(addr, Method::POST, "/machines", json(rental), CLOUD_WAIT),
-        CloudOp::Release(machines) => {
-            outgoing(addr, Method::POST, "/machines/release", json(&Names { machines: machines.clone() }), CLOUD_WAIT)
-        }
+        CloudOp::Release(machines) => outgoing(
+            addr,
+            Method::POST,
+            "/machines/release",
+            json(&MachineNames { machines: machines.clone() }),
+            CLOUD_WAIT,
+        ),
         CloudOp::List { after } => {
             let after = after.as_ref().map(|a| format!("since={a}&")).unwrap_or_default();
             outgoing(addr, Method::GET, format!("/machines?{after}most={LISTED}"), Vec::new(), CLOUD_WAIT)
@@ -137,8 +141,10 @@
         Outcome::Unknown => return Outcome::Unknown,
     };
     match (&op, status) {
-        (CloudOp::Types, 200) => known(parse::<Types>("cloud", &body).map(|t| CloudAnswer::Types(t.types))),
-        (CloudOp::Rent(_), 200) => known(parse::<Names>("cloud", &body).map(|n| CloudAnswer::Rented(n.machines))),
+        (CloudOp::Types, 200) => known(parse::<MachineTypes>("cloud", &body).map(|t| CloudAnswer::Types(t.types))),
+        (CloudOp::Rent(_), 200) => {
+            known(parse::<MachineNames>("cloud", &body).map(|n| CloudAnswer::Rented(n.machines)))
+        }
         (CloudOp::Release(_), 200) => Outcome::Answered(CloudAnswer::Released),
         (CloudOp::List { .. }, 200) => known(parse::<Listing>("cloud", &body).map(CloudAnswer::Listing)),
         (CloudOp::Rent(_), 503) if String::from_utf8_lossy(&body).contains("no capacity") => {
@@ -174,7 +180,7 @@
     to_peer(http, addr, "/peer", message, PEER_WAIT).await
 }
 
-pub async fn relay(http: &Http, addr: SocketAddr, message: &Relay) -> Outcome<RelayResponse> {
+pub async fn relay(http: &Http, addr: SocketAddr, message: &RelayRequest) -> Outcome<RelayResponse> {
     to_peer(http, addr, "/relay", message, RELAY_WAIT).await
 }
 
--- a/crates/rushyoke/src/serve.rs
+++ b/crates/rushyoke/src/serve.rs
@@ -17,7 +17,7 @@
 use rushyoke_core::{Answer, Input, Req};
 use rushyoke_wire::job::{JobSpec, is_job_id};
 use rushyoke_wire::peer;
-use rushyoke_wire::worker::UnreadReport;
+use rushyoke_wire::worker::UnparsedReport;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
@@ -178,7 +178,7 @@
             Route::Status(id) => Box::new(move |req| Input::Status { req, id }),
             Route::Cancel(id) => Box::new(move |req| Input::Cancel { req, id }),
             Route::Ready => Box::new(|req| Input::Ready { req }),
-            Route::Report => match serde_json::from_slice::<UnreadReport>(body) {
+            Route::Report => match serde_json::from_slice::<UnparsedReport>(body) {
                 Ok(report) => Box::new(move |req| {
                     let (report, unread) = report.split();
                     Input::Report { req, report: Box::new(report), unread }
@@ -192,7 +192,7 @@
                 Some(request) => Box::new(move |req| Input::Peer { req, request }),
                 None => return Answer::error(400, "malformed message"),
             },
-            Route::Relay => match peer::decode::<peer::Relay>(body) {
+            Route::Relay => match peer::decode::<peer::RelayRequest>(body) {
                 Some(relay) => {
                     self.stats.borrow_mut().relayed(relay.reports.len());
                     Box::new(move |req| Input::Relay { req, relay })
--- a/crates/testkit/examples/profile.rs
+++ b/crates/testkit/examples/profile.rs
@@ -51,7 +51,7 @@
             cpus: 2.0,
             memory_gb: 6.7,
             estimate_s: 60.0,
-            checkpoint_s: 30.0,
+            checkpoint_interval_s: 30.0,
             save_s: 5.0,
             priority: Priority::BestEffort,
             ..job(id, 20 + draw.below(80) as u32)
--- a/crates/testkit/examples/spread.rs
+++ b/crates/testkit/examples/spread.rs
@@ -240,8 +240,13 @@
     let room = early * MACHINE_CPUS - (SERVICES * REPLICAS) as usize;
     let mut paths = Paths::default();
     for id in 0..room as u32 / BURST_JOB {
-        let saves =
-            JobSpec { checkpoint_s: 10.0, save_s: 0.5, estimate_s: TASK_S, spot: false, ..job(100 + id, BURST_JOB) };
+        let saves = JobSpec {
+            checkpoint_interval_s: 10.0,
+            save_s: 0.5,
+            estimate_s: TASK_S,
+            spot: false,
+            ..job(100 + id, BURST_JOB)
+        };
         paths.submitted.insert(saves.id.clone(), Instant::now());
         submit(&world, saves, id as usize % NODES).await;
     }
--- a/crates/testkit/examples/support/mod.rs
+++ b/crates/testkit/examples/support/mod.rs
@@ -20,10 +20,10 @@
 use hyper_util::rt::TokioIo;
 use rushyoke_core::{CloudAnswer, CloudOp, StoreAnswer, StoreOp};
 use rushyoke_testkit::{Cloud, Store, Worker};
-use rushyoke_wire::cloud::{Names, Rental, Types};
+use rushyoke_wire::cloud::{MachineNames, MachineTypes, Rental};
 use rushyoke_wire::job::JobSpec;
 use rushyoke_wire::store::{Committed, Lease, NewLease, Refused, Txn};
-use rushyoke_wire::worker::{Elsewhere, Orders};
+use rushyoke_wire::worker::{Orders, ReportRedirect};
 use serde_json::json;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
@@ -227,15 +227,17 @@
         let body = request.into_body().collect().await.expect("a body").to_bytes();
         let op = match path.as_str() {
             "/flavors" => CloudOp::Types,
-            "/machines/release" => CloudOp::Release(serde_json::from_slice::<Names>(&body).expect("names").machines),
+            "/machines/release" => {
+                CloudOp::Release(serde_json::from_slice::<MachineNames>(&body).expect("names").machines)
+            }
             _ if body.is_empty() => CloudOp::List { after: Some(since) },
             _ => CloudOp::Rent(serde_json::from_slice::<Rental>(&body).expect("a rental")),
         };
         let answer = self.cloud.borrow_mut().execute(self.now(), &op);
         self.workers.borrow_mut().retain(|name, _| self.cloud.borrow().machines.contains_key(name));
         match answer {
-            CloudAnswer::Types(types) => reply(200, Types { types }),
-            CloudAnswer::Rented(machines) => reply(200, Names { machines }),
+            CloudAnswer::Types(types) => reply(200, MachineTypes { types }),
+            CloudAnswer::Rented(machines) => reply(200, MachineNames { machines }),
             CloudAnswer::Listing(mut listing) => {
                 listing.machines.iter_mut().for_each(|m| m.addr = address(&m.id).to_string());
                 reply(200, listing)
@@ -338,7 +340,7 @@
                     worker.borrow_mut().answered(self.now(), sent, session, &orders);
                 }
                 Some((421, body)) => {
-                    let other: Elsewhere = serde_json::from_slice(&body).expect("a node");
+                    let other: ReportRedirect = serde_json::from_slice(&body).expect("a node");
                     let named = other.report_to.and_then(|label| label.strip_prefix("node-")?.parse().ok());
                     soon = Some(if named.is_some() { Duration::ZERO } else { NEXT_NODE });
                     (node, kept) = (named.unwrap_or((node + 1) % NODES), None);
@@ -354,7 +356,7 @@
     /// A user submits a job and asks for its state until it is done.
     pub async fn user(self: Rc<Self>, node: usize, spec: JobSpec) {
         let id = spec.id.clone();
-        if spec.checkpoint_s >= 0.0 && spec.estimate_s > 0.0 {
+        if spec.checkpoint_interval_s >= 0.0 && spec.estimate_s > 0.0 {
             self.specs.borrow_mut().insert(id.clone(), spec.clone());
         }
         let mut kept = None;
--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use rushyoke_core::{CloudAnswer, CloudOp};
-use rushyoke_wire::cloud::{Listed, Listing, MachineType, Phase};
+use rushyoke_wire::cloud::{ListedMachine, Listing, MachineType, Phase};
 
 /// Machines in one answer to a list.
 const PAGE: usize = 500;
@@ -107,7 +107,7 @@
             }
             CloudOp::List { after } => {
                 let rows = self.machines.iter().filter(|(name, _)| after.as_ref().is_none_or(|a| *name > a));
-                let mut machines = rows.map(|(name, m)| Listed {
+                let mut machines = rows.map(|(name, m)| ListedMachine {
                     id: name.clone(),
                     addr: name.clone(),
                     kind: m.kind.clone(),
--- a/crates/testkit/src/deployment.rs
+++ b/crates/testkit/src/deployment.rs
@@ -49,10 +49,10 @@
         image: "img".into(),
         image_gb: 1.0,
         estimate_s: 10.0,
-        checkpoint_s: 0.0,
+        checkpoint_interval_s: 0.0,
         save_s: 0.0,
         deadline_s: None,
-        awaits: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/rules.rs
@@ -53,7 +53,7 @@
             Input::Submit { spec, .. } => {
                 self.submitted.insert(spec.id.clone());
                 self.tasks.entry(spec.id.clone()).or_insert(spec.tasks);
-                self.awaits.entry(spec.id.clone()).or_insert_with(|| spec.awaits.clone());
+                self.awaits.entry(spec.id.clone()).or_insert_with(|| spec.dependencies.clone());
                 (Kind::Submit, spec.id.clone())
             }
             Input::Status { id, .. } => (Kind::Status, id.clone()),
--- a/crates/testkit/src/story.rs
+++ b/crates/testkit/src/story.rs
@@ -25,7 +25,7 @@
 
 /// An array of one-CPU tasks of team red that awaits other jobs.
 pub fn dependent(number: u32, tasks: u32, awaits: &[u32]) -> JobSpec {
-    JobSpec { awaits: awaits.iter().map(|number| job_id(*number)).collect(), ..job(number, tasks) }
+    JobSpec { dependencies: awaits.iter().map(|number| job_id(*number)).collect(), ..job(number, tasks) }
 }
 
 /// So many jobs in one state.
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -97,7 +97,7 @@
                     task: t.name.clone(),
                     attempt: t.attempt,
                     state: t.state,
-                    why: t.why,
+                    cause: t.why,
                     saved: None,
                 })
                 .collect(),
@@ -170,8 +170,11 @@
                         continue;
                     }
                     let busy = self.tasks.iter().any(|t| t.name == *task && t.state != TaskState::Exited);
-                    let (state, why) =
-                        if busy { (TaskState::Exited, Some(Cause::Busy)) } else { (TaskState::Fetching, None) };
+                    let (state, why) = if busy {
+                        (TaskState::Exited, Some(Cause::AttemptConflict))
+                    } else {
+                        (TaskState::Fetching, None)
+                    };
                     let until = now + Duration::from_millis(500);
                     self.tasks.push(Task { name: task.clone(), attempt: *attempt, state, why, until });
                 }
--- a/crates/testkit/src/world/network.rs
+++ b/crates/testkit/src/world/network.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use rushyoke_core::{Answer, Call, CloudOp, Input, Outcome, Output, Req, StoreAnswer, StoreOp};
-use rushyoke_wire::peer::{PeerResponse, Relay, RelayResponse, decode};
-use rushyoke_wire::worker::{Elsewhere, Orders, Report};
+use rushyoke_wire::peer::{PeerResponse, RelayRequest, RelayResponse, decode};
+use rushyoke_wire::worker::{Orders, Report, ReportRedirect};
 
 use super::{Asker, Event, HOP, Watch, World};
 
@@ -144,7 +144,7 @@
         }
     }
 
-    fn relayed_to(&mut self, node: usize, call: Call, label: &str, relay: Relay) {
+    fn relayed_to(&mut self, node: usize, call: Call, label: &str, relay: RelayRequest) {
         let unanswered = Input::RelayResponse { call, outcome: Outcome::Unknown };
         let Some((other, req)) = self.peer(node, label) else {
             self.input_at(self.now + HOP, node, unanswered);
@@ -274,7 +274,7 @@
                 worker.answered(now, sent, session, &orders);
             }
             421 => {
-                let elsewhere: Elsewhere = serde_json::from_slice(&answer.body).expect("a 421 is well formed");
+                let elsewhere: ReportRedirect = serde_json::from_slice(&answer.body).expect("a 421 is well formed");
                 match elsewhere.report_to.and_then(|l| l.trim_start_matches("node-").parse().ok()) {
                     Some(node) => (worker.node, worker.next_report) = (node, now),
                     None => {
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -36,7 +36,7 @@
 
 /// All types of machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Types {
+pub struct MachineTypes {
     /// The types.
     #[serde(rename = "rigs")]
     pub types: Vec<MachineType>,
@@ -64,7 +64,7 @@
 
 /// The answer to a rental, and the body of a return.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Names {
+pub struct MachineNames {
     /// Machines' names.
     #[serde(rename = "tankers")]
     pub machines: Vec<String>,
@@ -85,7 +85,7 @@
 
 /// A machine as the cloud lists it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListedMachine {
     /// Its name.
     #[serde(rename = "name_id")]
     pub id: String,
@@ -114,7 +114,7 @@
 pub struct Listing {
     /// Machines in the order of their names.
     #[serde(rename = "tankers")]
-    pub machines: Vec<Listed>,
+    pub machines: Vec<ListedMachine>,
     /// Whether more follow.
     pub more: bool,
 }
--- a/crates/wire/src/job.rs
+++ b/crates/wire/src/job.rs
@@ -86,7 +86,7 @@
     pub estimate_s: f64,
     /// How often a running task saves its progress; 0: never.
     #[serde(rename = "tally_s")]
-    pub checkpoint_s: f64,
+    pub checkpoint_interval_s: f64,
     /// Time that a task needs to save when it is stopped.
     #[serde(rename = "stow_s")]
     pub save_s: f64,
@@ -94,11 +94,11 @@
     #[serde(rename = "due_s", default)]
     pub deadline_s: Option<f64>,
     /// Jobs that must be done before any task of this one starts, each named once.
-    #[serde(default, deserialize_with = "null_is_empty", skip_serializing_if = "Vec::is_empty")]
-    pub awaits: Vec<String>,
+    #[serde(rename = "awaits", default, deserialize_with = "null_as_empty", skip_serializing_if = "Vec::is_empty")]
+    pub dependencies: Vec<String>,
 }
 
-fn null_is_empty<'de, D: Deserializer<'de>>(value: D) -> Result<Vec<String>, D::Error> {
+fn null_as_empty<'de, D: Deserializer<'de>>(value: D) -> Result<Vec<String>, D::Error> {
     Ok(Option::<Vec<String>>::deserialize(value)?.unwrap_or_default())
 }
 
@@ -118,7 +118,7 @@
         let mut spec: JobSpec = serde_json::from_slice(body).map_err(|e| e.to_string())?;
         spec.check()?;
         let mut named = BTreeSet::new();
-        spec.awaits.retain(|id| named.insert(id.clone()));
+        spec.dependencies.retain(|id| named.insert(id.clone()));
         Ok(spec)
     }
 
@@ -126,7 +126,7 @@
         if !is_job_id(&self.id) {
             return Err("name_id: must be wk- and digits".into());
         }
-        if !self.awaits.iter().all(|id| is_job_id(id)) {
+        if !self.dependencies.iter().all(|id| is_job_id(id)) {
             return Err("awaits: must be a list of job ids".into());
         }
         if self.tasks == 0 || self.tasks > MAX_TASKS {
@@ -143,7 +143,7 @@
             ("memory_gb", self.memory_gb),
             ("size_gb", self.image_gb),
             ("haul_s", self.estimate_s),
-            ("tally_s", self.checkpoint_s),
+            ("tally_s", self.checkpoint_interval_s),
             ("stow_s", self.save_s),
             ("due_s", self.deadline_s.unwrap_or(0.0)),
         ];
@@ -197,6 +197,6 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
     /// Jobs that it waits for.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub awaits: Vec<String>,
+    #[serde(rename = "awaits", default, skip_serializing_if = "Vec::is_empty")]
+    pub dependencies: Vec<String>,
 }
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -25,7 +25,7 @@
     /// The asker's token while it leads.
     pub token: Option<u64>,
     /// The leader takes no more jobs.
-    pub full: bool,
+    pub job_limit_reached: bool,
     /// For display, from the leader only.
     pub progress: Vec<Progress>,
 }
@@ -44,21 +44,21 @@
     /// The token of the leader to which it hands workers' reports, if it does.
     pub relays_to: Option<u64>,
     /// How much of its time its processor is busy, in percent.
-    pub busy: u8,
+    pub busy_percent: u8,
 }
 
 /// Workers' reports that a node hands to the leader, to pass its answers back.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Relay {
+pub struct RelayRequest {
     /// The token of the leader that they are for.
     pub token: u64,
     /// The reports, in the order of their answers.
-    pub reports: Vec<Relayed>,
+    pub reports: Vec<RelayedReport>,
 }
 
 /// A worker's report, with its tasks or the digest of a list that was told before.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Relayed {
+pub struct RelayedReport {
     /// The machine's name.
     pub machine: String,
     /// The worker's session.
@@ -72,12 +72,12 @@
     /// Tells lists of tasks apart.
     pub digest: u64,
     /// What the digest stands for, if it must be told.
-    pub full: Option<RelayedMachine>,
+    pub full: Option<FullReport>,
 }
 
 /// A report in full.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RelayedMachine {
+pub struct FullReport {
     /// Where the worker takes direct orders.
     pub addr: String,
     /// The machine's type.
@@ -100,19 +100,19 @@
     /// What it does.
     pub state: TaskState,
     /// Why it has ended.
-    pub why: Option<Cause>,
+    pub cause: Option<Cause>,
 }
 
 /// The leader's answers to relayed reports, in their order; `None`: send it in full.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RelayResponse {
     /// One for each report.
-    pub answers: Vec<Option<RelayAnswer>>,
+    pub answers: Vec<Option<RelayedResponse>>,
 }
 
 /// What is to be answered to the worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RelayAnswer {
+pub struct RelayedResponse {
     /// The HTTP status.
     pub status: u16,
     /// The body.
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -30,12 +30,14 @@
     /// It failed.
     Error,
     /// Its start was refused: the machine has not enough free.
-    NoRoom,
+    #[serde(rename = "no_room")]
+    InsufficientResources,
     /// Its start was refused: another attempt of it is on the machine.
     #[serde(rename = "in_use")]
-    Busy,
+    AttemptConflict,
     /// Its start was refused: there is no such job or task.
-    Unknown,
+    #[serde(rename = "unknown")]
+    UnknownTask,
 }
 
 /// A task as a report lists it.
@@ -51,8 +53,8 @@
     #[serde(rename = "status")]
     pub state: TaskState,
     /// Why it has ended.
-    #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<Cause>,
+    #[serde(default, skip_serializing_if = "Option::is_none")]
+    pub cause: Option<Cause>,
     /// Whether its progress was saved when it was stopped.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
@@ -94,12 +96,12 @@
 
 /// A report whose list of tasks is checked to be JSON but not read: most reports of a
 /// large fleet list what the one before did.
-pub type UnreadReport = Report<Option<Box<RawValue>>>;
+pub type UnparsedReport = Report<Option<Box<RawValue>>>;
 
-impl UnreadReport {
+impl UnparsedReport {
     /// The report without its tasks, and these as they came.
     pub fn split(self) -> (Report, Option<Box<RawValue>>) {
-        let UnreadReport { machine, addr, kind, zone, spot, session, seq, token, notice_s, tasks } = self;
+        let UnparsedReport { machine, addr, kind, zone, spot, session, seq, token, notice_s, tasks } = self;
         let head = Report { machine, addr, kind, zone, spot, session, seq, token, notice_s, tasks: Vec::new() };
         (head, tasks)
     }
@@ -168,7 +170,7 @@
 
 /// The body of a 421: which node to report to, if known.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Elsewhere {
+pub struct ReportRedirect {
     /// The node's label.
     #[serde(rename = "dispatcher", default, skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
--- a/crates/wire/tests/submission.rs
+++ b/crates/wire/tests/submission.rs
@@ -16,7 +16,7 @@
 
 /// What a submission with this list says it awaits, or that it is malformed.
 fn awaits(list: Option<Value>) -> Result<Vec<String>, String> {
-    JobSpec::parse(&submission(list)).map(|spec| spec.awaits)
+    JobSpec::parse(&submission(list)).map(|spec| spec.dependencies)
 }
 
 #[test]
