--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -253,7 +253,7 @@
     pub fn memory_bytes(&self) -> usize {
         JOB_BYTES
             + self.done_bits.len() * 8
-            + self.spec.awaits.len() * AWAIT_BYTES
+            + self.spec.dependencies.len() * AWAIT_BYTES
             + (self.placements.len() + self.requeued.len()) * PLACE_BYTES
     }
 
