--- a/crates/core/src/awaits.rs
+++ b/crates/core/src/awaits.rs
@@ -160,7 +160,7 @@
             let Some(dep) = self.awaited.unread.pop_first() else { return };
             if self.awaited.reading.insert(dep.clone()) {
                 let op = StoreOp::Get(job_key(&dep));
-                env.store(Purpose::Load(LoadCall::Awaited(dep)), Urgency::High, op);
+                env.store(Purpose::Load(LoadCall::Dependency(dep)), Urgency::High, op);
             }
         }
     }
--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -21,14 +21,14 @@
     Order { machine: Name },
     Types,
     ReadTypes,
-    KeepTypes,
+    WriteTypes,
     Probe,
     Relay,
 }
 
 impl Purpose {
     /// Whether the outcome concerns the present term only.
-    pub fn of_term(&self) -> bool {
+    pub fn belongs_to_term(&self) -> bool {
         matches!(self, Purpose::Load(_) | Purpose::Record(_) | Purpose::Rent(_) | Purpose::Order { .. })
     }
 }
@@ -38,11 +38,11 @@
 pub(crate) enum ElectionCall {
     Read,
     Watch,
-    DropOwn,
+    DeleteOwnKey,
     Lease { sent: Instant },
     Claim { lease: u64, sent: Instant },
-    Touch { sent: Instant },
-    End,
+    RenewLease { sent: Instant },
+    EndLease,
 }
 
 /// Reads of the records, and the watch on jobs.
@@ -57,7 +57,7 @@
         sent: Instant,
     },
     /// The record of a job that others await.
-    Awaited(Name),
+    Dependency(Name),
 }
 
 /// What one transaction of the records writes.
@@ -67,15 +67,15 @@
     pub tasks: Vec<(TaskKey, Option<u64>)>,
     /// Whether the last segment is written, and whether with new places.
     pub segment: bool,
-    pub placed: bool,
+    pub new_placements: bool,
     pub pages: Vec<(Name, u32)>,
     /// Values of the record of open moves, and the moves that wait for them, with their attempts.
     pub moves: Vec<usize>,
-    pub booked: Vec<(TaskKey, u64)>,
+    pub waiting_moves: Vec<(TaskKey, u64)>,
     /// Whether the record of zones is written.
     pub failover: bool,
-    pub closed: Vec<Name>,
-    pub drops: Vec<String>,
+    pub closed_jobs: Vec<Name>,
+    pub deleted_keys: Vec<String>,
 }
 
 /// Calls of the records.
@@ -114,7 +114,7 @@
     /// Whether jobs that a submission awaits were accepted.
     Dependencies {
         admission: Admission,
-        asked: Vec<String>,
+        queried: Vec<String>,
     },
     Create(Creation),
     /// Before a refusal: an accepted job is never refused.
@@ -149,5 +149,5 @@
     pub request: Req,
     pub job: String,
     pub tasks: u32,
-    pub awaits: Arc<[String]>,
+    pub dependencies: Arc<[String]>,
 }
--- a/crates/core/src/election.rs
+++ b/crates/core/src/election.rs
@@ -25,7 +25,7 @@
     pub(crate) fn election_lost(&mut self) {
         let now = self.env.steady();
         if let Some(Phase::Leading { lease, .. }) = self.election.phase {
-            self.env.store(Purpose::Election(ElectionCall::End), Urgency::Leadership, StoreOp::EndLease(lease));
+            self.env.store(Purpose::Election(ElectionCall::EndLease), Urgency::Leadership, StoreOp::EndLease(lease));
         }
         self.election.holder = None;
         self.election.read_at(now + RETRY);
@@ -43,7 +43,7 @@
                 *touching = Some(now);
                 let lease = *lease;
                 self.env.store(
-                    Purpose::Election(ElectionCall::Touch { sent: now }),
+                    Purpose::Election(ElectionCall::RenewLease { sent: now }),
                     Urgency::Leadership,
                     StoreOp::Touch(lease),
                 );
@@ -95,7 +95,7 @@
                     self.election.read_at(now + RETRY);
                 }
             }
-            (ElectionCall::DropOwn, Outcome::Answered(StoreAnswer::Committed(_))) => self.compete(),
+            (ElectionCall::DeleteOwnKey, Outcome::Answered(StoreAnswer::Committed(_))) => self.compete(),
             (ElectionCall::Lease { sent }, Outcome::Answered(StoreAnswer::Lease(lease))) => {
                 let value = serde_json::to_value(&self.election.me).expect("holders always encode");
                 let txn = Txn::default().when(LEADER_KEY, 0).put_leased(LEADER_KEY, value, lease);
@@ -112,16 +112,19 @@
                 self.begin_term(token);
             }
             (ElectionCall::Claim { lease, .. }, Outcome::Answered(_)) => {
-                self.env.store(Purpose::Election(ElectionCall::End), Urgency::Low, StoreOp::EndLease(lease));
+                self.env.store(Purpose::Election(ElectionCall::EndLease), Urgency::Low, StoreOp::EndLease(lease));
                 self.election.read_at(now);
             }
-            (ElectionCall::Touch { sent }, outcome) => self.touched(sent, outcome),
-            (ElectionCall::End, _) => {}
+            (ElectionCall::RenewLease { sent }, outcome) => self.touched(sent, outcome),
+            (ElectionCall::EndLease, _) => {}
             // An unanswered claim may have been carried out, or may be yet: the key, once
             // read, shows our label, and is dropped on its version like that of an
             // earlier incarnation.
             (
-                ElectionCall::Read | ElectionCall::DropOwn | ElectionCall::Lease { .. } | ElectionCall::Claim { .. },
+                ElectionCall::Read
+                | ElectionCall::DeleteOwnKey
+                | ElectionCall::Lease { .. }
+                | ElectionCall::Claim { .. },
                 _,
             ) => {
                 if !matches!(self.election.phase, Some(Phase::Leading { .. })) {
@@ -200,7 +203,7 @@
                 tracing::info!(version = holder.version, "dropping the leader key of an earlier incarnation");
                 let txn = Txn::default().when(LEADER_KEY, holder.version).delete(LEADER_KEY);
                 self.election.phase = Some(Phase::Busy);
-                self.env.store(Purpose::Election(ElectionCall::DropOwn), Urgency::Leadership, StoreOp::Txn(txn));
+                self.env.store(Purpose::Election(ElectionCall::DeleteOwnKey), Urgency::Leadership, StoreOp::Txn(txn));
             }
             Some(holder) => {
                 tracing::debug!(leader = holder.record.label, "following");
--- a/crates/core/src/failover.rs
+++ b/crates/core/src/failover.rs
@@ -29,8 +29,8 @@
 pub(crate) fn note_machine(view: &mut ZoneView, machine: &Machine, overdue: bool, in_time: bool) {
     let unreachable = machine.failed_calls() > 0;
     // Its calls may fail while a controller near it hands its reports on, and our answers back.
-    let deaf = unreachable && !machine.hears_answers();
-    let out = overdue || deaf || machine.is_unreporting();
+    let deaf = unreachable && !machine.receives_responses();
+    let out = overdue || deaf || machine.reports_missing();
     view.machines += 1;
     view.overdue += usize::from(overdue);
     view.unreachable += usize::from(unreachable);
@@ -39,7 +39,7 @@
     view.ordinary_out += usize::from(out && !machine.spot);
     view.in_time += usize::from(in_time && !out);
     if out {
-        view.tasks_out += machine.places.len();
+        view.tasks_out += machine.tasks.len();
     } else {
         view.cpus += machine.total.cpus;
     }
@@ -58,7 +58,7 @@
         let Some(failover) = &mut self.failover else { return };
         let fleet = FleetView {
             zones,
-            sampled_cut: self.survey.sampled_cut().clone(),
+            sampled_cut: self.survey.unreachable_zones().clone(),
             answering: self.controllers.zones.clone(),
             controllers: self.controllers.others,
             controllers_answering: self.controllers.answering,
@@ -102,7 +102,7 @@
     pub fn zone_is_cut(&self, zone: &str) -> bool {
         match &self.failover {
             Some(failover) => matches!(failover.state(zone), ZoneState::Suspect | ZoneState::Lost),
-            None => self.survey.sampled_cut().contains(zone),
+            None => self.survey.unreachable_zones().contains(zone),
         }
     }
 
@@ -178,9 +178,9 @@
 
     /// Whether what runs on a machine will want room elsewhere when its lease ends.
     pub fn will_lose_work(&self, machine: &Machine) -> bool {
-        let cut_off = machine.suspect && self.parted(machine);
+        let cut_off = machine.suspect && self.is_partitioned(machine);
         let lost = self.zone_is_lost(&machine.zone) && (machine.suspect || machine.failed_calls() > 0);
-        !machine.leaving && (cut_off || lost)
+        !machine.releasing && (cut_off || lost)
     }
 
     /// Whether a silent machine is kept with its zone: for a while beyond its lease, since the zone may be back
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -7,14 +7,14 @@
 //! went out directly and was not answered may still run late, so the exited entry that
 //! would stop it is kept until the order is resolved.
 
-pub(crate) mod calls;
+pub(crate) mod direct_calls;
 mod images;
 mod lease;
+mod liveness;
 pub(crate) mod machine;
 mod orders;
 mod reports;
-mod silence;
-pub(crate) mod stop_account;
+pub(crate) mod stop_statistics;
 mod stops;
 pub(crate) mod survey;
 mod tasks;
@@ -28,12 +28,12 @@
 use crate::env::Env;
 use crate::jobs::Name;
 use crate::term::Term;
-pub(crate) use machine::{Claim, Machine};
+pub(crate) use machine::{Machine, Reservation};
 
 /// Reports come at their interval, give or take a quarter.
-const LATEST_REPORT: f64 = 1.25;
+const LATEST_REPORT_FACTOR: f64 = 1.25;
 /// A report that was answered is followed by the next within its interval and this.
-const PROMPT: Duration = Duration::from_secs(1);
+const REPORT_DELAY_ALLOWANCE: Duration = Duration::from_secs(1);
 /// Least time between direct calls that ask whether a copy or a worker came.
 const COPY_PROBE: Duration = Duration::from_secs(2);
 /// Share of a lease within which an answered report surely renewed it.
@@ -47,19 +47,19 @@
 type Attempt = (String, u64);
 
 /// A report's tasks, as far as they are known.
-pub(crate) enum Tasks<'a> {
+pub(crate) enum ReportedTasks<'a> {
     /// As they came from the worker.
-    Unread(&'a RawValue),
+    Raw(&'a RawValue),
     /// In the report, with their digest.
-    Listed(u64),
+    Parsed(u64),
     /// Those with this digest, which were told before.
     Digest(u64),
 }
 
 /// Most workers find a new leader by themselves, and a report soon after their first shows its
 /// token: only machines with services are shown it directly before this time.
-fn fence_by_report(report: Duration) -> Duration {
-    report.mul_f64(LATEST_REPORT) + PROMPT
+fn report_fencing_window(report: Duration) -> Duration {
+    report.mul_f64(LATEST_REPORT_FACTOR) + REPORT_DELAY_ALLOWANCE
 }
 
 /// Tells lists of tasks apart.
@@ -71,27 +71,27 @@
 
 /// Tells apart the ways in which a report came.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Via {
+enum Channel {
     Report,
     Direct,
 }
 impl Term {
-    pub fn types_changed(&mut self, env: &Env) {
+    pub fn update_machine_types(&mut self, env: &Env) {
         for machine in self.machines.values_mut() {
             let kind = env.type_named(&machine.kind);
-            machine.set_type(kind);
+            machine.apply_type(kind);
         }
     }
 
     /// The machine and everything on it are gone.
-    pub fn machine_gone(&mut self, env: &mut Env, name: &Name) {
+    pub fn remove_machine(&mut self, env: &mut Env, name: &Name) {
         let now = env.steady();
         let Some(machine) = self.machines.get(name) else {
             return;
         };
-        for key in machine.places.clone() {
+        for key in machine.tasks.clone() {
             self.displaced(&key, name);
-            self.place_empty(env, &key, now);
+            self.clear_placement(env, &key, now);
         }
         self.machines.remove(name);
         if let Some(failover) = &mut self.failover {
@@ -112,7 +112,7 @@
         if listed.phase == CloudPhase::Failed {
             if self.machines.contains_key(&name) {
                 tracing::info!(machine = &*name, "failed, says the cloud");
-                self.machine_gone(env, &name);
+                self.remove_machine(env, &name);
                 self.renting.release_later(name);
             }
             return;
@@ -120,14 +120,14 @@
         let machine = self.machines.entry(name.clone()).or_insert_with(|| {
             let age = Duration::from_secs_f64(listed.age_s.clamp(0.0, 1e6));
             let known = now.checked_sub(age).unwrap_or(now);
-            Machine { known, ..Machine::unknown(name.clone(), now) }
+            Machine { known_since: known, ..Machine::new(name.clone(), now) }
         });
         if machine.kind.is_empty() {
             machine.kind = listed.kind.clone();
             machine.zone = listed.zone.clone();
             self.zones.insert(listed.zone.clone());
             machine.spot = listed.spot;
-            machine.set_type(env.type_named(&listed.kind));
+            machine.apply_type(env.type_named(&listed.kind));
         }
         if machine.addr.is_empty() {
             machine.addr = listed.addr.clone();
@@ -135,8 +135,8 @@
         if listed.phase == CloudPhase::Running && !machine.up && !machine.addr.is_empty() {
             // Its worker may report to another node still: show it the token.
             machine.up = true;
-            machine.heard = now;
-            machine.reported = now;
+            machine.last_heard = now;
+            machine.last_reported = now;
             self.call_soon(&name);
         }
     }
--- a/crates/core/src/fleet/calls.rs
+++ b/crates/core/src/fleet/direct_calls.rs
@@ -9,10 +9,10 @@
 pub(super) struct DirectCall {
     pub(super) session: u64,
     /// Session and number of the newest message when it was sent.
-    pub(super) seen: (u64, u64),
+    pub(super) newest_message: (u64, u64),
     pub(super) starts: Vec<Attempt>,
     /// Whether it stops any task.
-    pub(super) stops: bool,
+    pub(super) has_stops: bool,
     /// Tasks of cancelled jobs that it stops.
     pub(super) cancelled_stops: u32,
 }
@@ -33,7 +33,7 @@
     pub(super) fn call_reason(&self) -> CallReason {
         if self.hosts_service() {
             CallReason::Service
-        } else if self.has_stops {
+        } else if self.has_immediate_stops {
             CallReason::Stop
         } else {
             CallReason::Other
@@ -46,19 +46,19 @@
     }
 
     /// A direct call was not answered; the next one waits, the longer the more have failed.
-    pub(super) fn call_failed(&mut self, now: Instant, retry: Duration, most_backoff: u32) {
-        self.probes_failed += 1;
+    pub(super) fn note_failed_call(&mut self, now: Instant, retry: Duration, most_backoff: u32) {
+        self.failed_probes += 1;
         self.failed_calls += 1;
-        self.direct_from = Some(now + retry * self.failed_calls.min(most_backoff));
+        self.next_call_at = Some(now + retry * self.failed_calls.min(most_backoff));
     }
 
     /// Whether a start is on its way in a direct order just now.
-    pub(super) fn on_its_way(&self, attempt: &Attempt) -> bool {
-        self.direct.as_ref().is_some_and(|d| d.starts.contains(attempt))
+    pub(super) fn start_in_flight(&self, attempt: &Attempt) -> bool {
+        self.direct_call.as_ref().is_some_and(|d| d.starts.contains(attempt))
     }
 
     /// Whether a start that went out directly may still run.
-    pub(super) fn unresolved(&self, attempt: &Attempt) -> bool {
-        self.unresolved.contains(attempt) || self.on_its_way(attempt)
+    pub(super) fn unresolved_starts(&self, attempt: &Attempt) -> bool {
+        self.unresolved_starts.contains(attempt) || self.start_in_flight(attempt)
     }
 }
--- a/crates/core/src/fleet/images.rs
+++ b/crates/core/src/fleet/images.rs
@@ -14,24 +14,24 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ImageCache {
     images: VecDeque<Image>,
-    room_gb: f64,
+    capacity_gb: f64,
 }
 
 impl ImageCache {
     /// How much the machine's type has room for.
     pub fn resize(&mut self, room_gb: f64) {
-        self.room_gb = room_gb;
+        self.capacity_gb = room_gb;
     }
 
-    pub fn holds(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.images.iter().any(|image| image.name == name)
     }
 
     /// A task of the machine runs with this image.
-    pub fn used(&mut self, name: &str, size_gb: f64) {
+    pub fn mark_used(&mut self, name: &str, size_gb: f64) {
         self.images.retain(|image| image.name != name);
         self.images.push_back(Image { name: name.to_owned(), size_gb });
-        while self.images.len() > 1 && self.size_gb() > self.room_gb {
+        while self.images.len() > 1 && self.size_gb() > self.capacity_gb {
             self.images.pop_front();
         }
     }
--- a/crates/core/src/fleet/orders.rs
+++ b/crates/core/src/fleet/orders.rs
@@ -7,10 +7,10 @@
 
 use rushyoke_wire::worker::{Order, Orders, Report};
 
-use super::calls::DirectCall;
-use super::stop_account::StopEvent;
+use super::direct_calls::DirectCall;
+use super::stop_statistics::StopEvent;
 use super::stops::MachineOrders;
-use super::{Attempt, Via};
+use super::{Attempt, Channel};
 use crate::env::Env;
 use crate::io::*;
 use crate::jobs::*;
@@ -26,13 +26,13 @@
 
 impl Term {
     /// The outcome of direct orders.
-    pub fn ordered(&mut self, env: &mut Env, name: &Name, outcome: Outcome<(u16, Report)>) {
+    pub fn direct_call_finished(&mut self, env: &mut Env, name: &Name, outcome: Outcome<(u16, Report)>) {
         let now = env.steady();
         self.directs -= 1;
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let Some(direct) = machine.direct.take() else {
+        let Some(direct) = machine.direct_call.take() else {
             return;
         };
         let fate = match &outcome {
@@ -40,7 +40,7 @@
             Outcome::Answered(_) => StopEvent::Refused,
             _ => StopEvent::Lost,
         };
-        self.stops.note(fate, direct.cancelled_stops);
+        self.stops.record(fate, direct.cancelled_stops);
         match outcome {
             Outcome::Answered((status, report)) if report.machine == **name => {
                 if status == 409 {
@@ -48,41 +48,41 @@
                     let session = report.session;
                     tracing::debug!(machine = &**name, session, token = report.token, "direct orders refused");
                 }
-                if (report.session, report.seq) < direct.seen {
+                if (report.session, report.seq) < direct.newest_message {
                     // The answer is fresh and yet older than what was known before the call:
                     // the worker began anew, and what it lists is all that is there. But a
                     // start that was not answered may still run there: it goes with the machine.
-                    let unresolved = machine.unresolved.len();
+                    let unresolved = machine.unresolved_starts.len();
                     tracing::info!(machine = &**name, unresolved, "its worker began anew");
-                    (machine.session, machine.seq, machine.report_seen) = (0, 0, (0, 0));
-                    machine.answers_lost |= unresolved > 0;
-                    machine.leaving |= machine.answers_lost;
+                    (machine.session, machine.seq, machine.newest_report) = (0, 0, (0, 0));
+                    machine.responses_lost |= unresolved > 0;
+                    machine.releasing |= machine.responses_lost;
                 }
-                self.take_report(env, name, &report, Via::Direct);
-                self.repeat_stops(now, name, direct.stops);
+                self.apply_report(env, name, &report, Channel::Direct);
+                self.repeat_stops(now, name, direct.has_stops);
                 let Some(machine) = self.machines.get_mut(name) else {
                     return;
                 };
                 if status == 409 && machine.fenced.is_some() {
-                    machine.direct_from = Some(now + DIRECT_RETRY / 4);
-                    machine.postponed = true;
-                } else if machine.fenced.is_none() || std::mem::take(&mut machine.postponed) {
+                    machine.next_call_at = Some(now + DIRECT_RETRY / 4);
+                    machine.call_postponed = true;
+                } else if machine.fenced.is_none() || std::mem::take(&mut machine.call_postponed) {
                     // It did not know the session; now it is known. Or there are orders since.
                     self.call_soon(name);
                 }
             }
             outcome => {
-                machine.call_failed(now, DIRECT_RETRY, MOST_BACKOFF);
+                machine.note_failed_call(now, DIRECT_RETRY, MOST_BACKOFF);
                 // Unless it was surely not carried out, what it started may run yet.
                 if !matches!(outcome, Outcome::NotDone) && machine.session == direct.session {
-                    machine.unresolved.extend(direct.starts);
+                    machine.unresolved_starts.extend(direct.starts);
                 }
             }
         }
     }
 
     /// What the machine should be told now: stops first, since they free room and an answer must hold all of them.
-    pub(super) fn orders_for(&mut self, now: Instant, name: &Name, via: Via) -> MachineOrders {
+    pub(super) fn orders_for(&mut self, now: Instant, name: &Name, via: Channel) -> MachineOrders {
         let mut message = self.stops_for(now, name, via);
         let Some(machine) = self.machines.get_mut(name) else {
             return message;
@@ -91,14 +91,14 @@
             return message;
         }
         let mut due_again = !machine.unexpected.is_empty() || !machine.exited.is_empty();
-        for key in &machine.places {
+        for key in &machine.tasks {
             let place = self.jobs.get_mut(&key.0).and_then(|job| job.places.get_mut(&key.1)).expect("placed");
             due_again |= !place.stage.is_seen() || place.stop.is_some();
             if place.stop.is_some() || place.stage.is_seen() || message.orders.len() >= MAX_ORDERS {
                 continue;
             }
             let task = format!("{}/{}", key.0, key.1);
-            let on_its_way = machine.on_its_way(&(task.clone(), place.attempt));
+            let on_its_way = machine.start_in_flight(&(task.clone(), place.attempt));
             message.orders.extend(start_for(via, task, place, on_its_way));
         }
         machine.orders_due = due_again;
@@ -107,9 +107,9 @@
     }
 
     /// Entries of exited tasks may go once nothing can run because of that.
-    fn forget_exited(&self, name: &Name, via: Via, orders: &mut Vec<Order>) {
+    fn forget_exited(&self, name: &Name, via: Channel, orders: &mut Vec<Order>) {
         let machine = &self.machines[name];
-        let resolved = |attempt: &Attempt| via == Via::Report && !machine.unresolved(attempt);
+        let resolved = |attempt: &Attempt| via == Channel::Report && !machine.unresolved_starts(attempt);
         let forget = |(task, attempt): &Attempt| Order::Forget { task: task.clone(), attempt: *attempt };
         let unexpected = machine.unexpected.iter().filter(|(attempt, exited)| *exited && resolved(attempt));
         let unexpected = unexpected.map(|(attempt, _)| forget(attempt));
@@ -140,23 +140,23 @@
             if machine.addr.is_empty() || !machine.up {
                 continue;
             }
-            if machine.direct.is_some() || machine.direct_from.is_some_and(|t| t > now) {
-                machine.postponed = true;
+            if machine.direct_call.is_some() || machine.next_call_at.is_some_and(|t| t > now) {
+                machine.call_postponed = true;
                 continue;
             }
             let probe = machine.fenced.is_none() || machine.failed_calls > 0;
-            let MachineOrders { orders, .. } = self.orders_for(now, &name, Via::Direct);
+            let MachineOrders { orders, .. } = self.orders_for(now, &name, Channel::Direct);
             if orders.is_empty() && !probe {
                 continue;
             }
-            self.direct(env, &name, orders);
+            self.start_direct_call(env, &name, orders);
         }
     }
 
-    pub(super) fn direct(&mut self, env: &mut Env, name: &Name, orders: Vec<Order>) {
+    pub(super) fn start_direct_call(&mut self, env: &mut Env, name: &Name, orders: Vec<Order>) {
         self.call_begun();
-        let cancelled_stops = self.cancelled_stops(&orders);
-        self.stops.note(StopEvent::Called, cancelled_stops);
+        let cancelled_stops = self.count_cancelled_stops(&orders);
+        self.stops.record(StopEvent::SentByCall, cancelled_stops);
         let machine = self.machines.get_mut(name).expect("known");
         let starts = orders.iter().filter_map(|order| match order {
             Order::Start { task, attempt } => Some((task.clone(), *attempt)),
@@ -169,18 +169,19 @@
         let doubtful = orders.is_empty() || machine.failed_calls > 0 || machine.suspect;
         let probe = starts.is_empty() && doubtful;
         tracing::debug!(machine = &**name, token = self.token, session, orders = orders.len(), cancelled_stops, "call");
-        machine.direct = Some(DirectCall { session, seen, starts, stops, cancelled_stops });
+        machine.direct_call =
+            Some(DirectCall { session, newest_message: seen, starts, has_stops: stops, cancelled_stops });
         let body = Orders { token: self.token, session: Some(session), orders };
         env.order(name.clone(), machine.addr.clone(), body, probe);
     }
 }
 
 /// The start of a task that its machine has not shown yet, if it is to be sent now.
-fn start_for(via: Via, task: String, place: &mut Place, on_its_way: bool) -> Option<Order> {
+fn start_for(via: Channel, task: String, place: &mut Place, on_its_way: bool) -> Option<Order> {
     if matches!(place.stage, Stage::Planned | Stage::Inherited) {
         return None;
     }
-    let due = !place.sent || (via == Via::Report && !on_its_way);
+    let due = !place.sent || (via == Channel::Report && !on_its_way);
     due.then(|| {
         place.sent = true;
         Order::Start { task, attempt: place.attempt }
--- a/crates/core/src/fleet/stop_account.rs
+++ b/crates/core/src/fleet/stop_statistics.rs
@@ -36,23 +36,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct StopCounts {
     /// Jobs with tasks on machines of which this leader heard that they are cancelled.
-    heard: u32,
+    cancelled_jobs: u32,
     /// Sent in direct calls, and in answers to reports.
-    called: StopCount,
-    told: StopCount,
+    sent_in_calls: StopCount,
+    sent_in_responses: StopCount,
     /// Of those in calls: carried out, refused by the worker, and without an answer.
     done: StopCount,
     refused: StopCount,
     lost: StopCount,
     /// Tasks of cancelled jobs whose places were proven empty.
-    ended: u32,
+    ended_tasks: u32,
 }
 
 /// The way in which stops were sent, or what became of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StopEvent {
-    Called,
-    Told,
+    SentByCall,
+    SentInResponse,
     Done,
     Refused,
     Lost,
@@ -60,18 +60,18 @@
 
 /// The stops of cancelled tasks of one leader.
 #[derive(Debug, Default)]
-pub(crate) struct StopAccount {
+pub(crate) struct StopStatistics {
     counts: StopCounts,
-    written: Option<Instant>,
+    logged_at: Option<Instant>,
     /// Cancelled jobs of which tasks have places, and when this leader heard of the cancellation.
-    open: BTreeMap<Name, Instant>,
+    open_jobs: BTreeMap<Name, Instant>,
 }
 
-impl StopAccount {
-    pub fn note(&mut self, event: StopEvent, tasks: u32) {
+impl StopStatistics {
+    pub fn record(&mut self, event: StopEvent, tasks: u32) {
         let count = match event {
-            StopEvent::Called => &mut self.counts.called,
-            StopEvent::Told => &mut self.counts.told,
+            StopEvent::SentByCall => &mut self.counts.sent_in_calls,
+            StopEvent::SentInResponse => &mut self.counts.sent_in_responses,
             StopEvent::Done => &mut self.counts.done,
             StopEvent::Refused => &mut self.counts.refused,
             StopEvent::Lost => &mut self.counts.lost,
@@ -80,24 +80,24 @@
     }
 
     pub fn task_ended(&mut self) {
-        self.counts.ended += 1;
+        self.counts.ended_tasks += 1;
     }
 
     pub fn job_cancelled(&mut self, job: &Name, now: Instant) {
-        if let Entry::Vacant(entry) = self.open.entry(job.clone()) {
+        if let Entry::Vacant(entry) = self.open_jobs.entry(job.clone()) {
             entry.insert(now);
-            self.counts.heard += 1;
+            self.counts.cancelled_jobs += 1;
         }
     }
 
     pub fn job_ended(&mut self, job: &Name) {
-        self.open.remove(job);
+        self.open_jobs.remove(job);
     }
 }
 
 /// Tasks of cancelled jobs that still have places, as a leader knows them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AwaitedStops {
+pub struct PendingStops {
     /// Jobs that are cancelled and have tasks on machines.
     pub jobs: usize,
     /// Tasks of these.
@@ -108,7 +108,7 @@
 
 impl Term {
     /// How many tasks of cancelled jobs these orders stop.
-    pub(super) fn cancelled_stops(&self, orders: &[Order]) -> u32 {
+    pub(super) fn count_cancelled_stops(&self, orders: &[Order]) -> u32 {
         let cancelled = |order: &&Order| match order {
             Order::Stop { task, .. } => {
                 parse_task(task).is_some_and(|(id, _)| self.jobs.get(id).is_none_or(|job| job.cancelled))
@@ -119,25 +119,33 @@
     }
 
     /// What of the cancelled jobs still has places.
-    pub fn awaited_stops(&self, now: Instant) -> AwaitedStops {
+    pub fn pending_stops(&self, now: Instant) -> PendingStops {
         let places = |job: &Name| self.jobs.get(job).map_or(0, |job| job.places.len());
-        AwaitedStops {
-            jobs: self.stops.open.len(),
-            tasks: self.stops.open.keys().map(places).sum(),
-            oldest: self.stops.open.values().min().map_or(Duration::ZERO, |since| now.duration_since(*since)),
+        PendingStops {
+            jobs: self.stops.open_jobs.len(),
+            tasks: self.stops.open_jobs.keys().map(places).sum(),
+            oldest: self.stops.open_jobs.values().min().map_or(Duration::ZERO, |since| now.duration_since(*since)),
         }
     }
 
     /// Writes a line if any stop was sent or had an outcome since the last one.
     pub(super) fn log_stops(&mut self, env: &Env) {
         let now = env.steady();
-        let early = self.stops.written.is_some_and(|t| now.duration_since(t) < LINE_PERIOD);
+        let early = self.stops.logged_at.is_some_and(|t| now.duration_since(t) < LINE_PERIOD);
         if early || self.stops.counts == StopCounts::default() {
             return;
         }
-        self.stops.written = Some(now);
-        let StopCounts { heard, called, told, done, refused, lost, ended } = std::mem::take(&mut self.stops.counts);
-        let awaited = self.awaited_stops(now);
+        self.stops.logged_at = Some(now);
+        let StopCounts {
+            cancelled_jobs: heard,
+            sent_in_calls: called,
+            sent_in_responses: told,
+            done,
+            refused,
+            lost,
+            ended_tasks: ended,
+        } = std::mem::take(&mut self.stops.counts);
+        let awaited = self.pending_stops(now);
         tracing::info!(
             token = self.token,
             heard,
--- a/crates/core/src/fleet/stops.rs
+++ b/crates/core/src/fleet/stops.rs
@@ -8,7 +8,7 @@
 
 use rushyoke_wire::worker::Order;
 
-use super::{Attempt, Machine, Via};
+use super::{Attempt, Channel, Machine};
 use crate::env::Env;
 use crate::jobs::{Name, Place, Stage, StopRequest, TaskKey};
 use crate::term::Term;
@@ -29,42 +29,42 @@
     /// What its stops take, about.
     stop_bytes: usize,
     /// There are more stops than a message can hold: it must not renew the worker's lease.
-    pub stops_left: bool,
+    pub stops_omitted: bool,
 }
 
 impl MachineOrders {
     /// Stops these attempts at once.
-    pub fn stopping<'a>(attempts: impl IntoIterator<Item = &'a Attempt>) -> MachineOrders {
+    pub fn with_stops<'a>(attempts: impl IntoIterator<Item = &'a Attempt>) -> MachineOrders {
         let mut message = MachineOrders::default();
         for (task, attempt) in attempts {
-            message.add([Order::Stop { task: task.clone(), attempt: *attempt, grace_s: 0.0 }]);
+            message.try_add_stops([Order::Stop { task: task.clone(), attempt: *attempt, grace_s: 0.0 }]);
         }
         message
     }
 
     /// Adds stops that belong together, if there is room; false if there is none.
-    fn add<const N: usize>(&mut self, stops: [Order; N]) -> bool {
+    fn try_add_stops<const N: usize>(&mut self, stops: [Order; N]) -> bool {
         let bytes: usize = stops.iter().map(|order| order.task().len() + ORDER_BYTES).sum();
         let room = self.stop_bytes + bytes <= MOST_STOP_BYTES;
         if room {
             self.orders.extend(stops);
             self.stop_bytes += bytes;
         }
-        self.stops_left |= !room;
+        self.stops_omitted |= !room;
         room
     }
 }
 
 impl Term {
     /// The stops that the machine should be told now.
-    pub(super) fn stops_for(&mut self, now: Instant, name: &Name, via: Via) -> MachineOrders {
+    pub(super) fn stops_for(&mut self, now: Instant, name: &Name, via: Channel) -> MachineOrders {
         let Some(machine) = self.machines.get(name) else {
             return MachineOrders::default();
         };
         let unexpected = machine.unexpected.iter().filter(|(_, exited)| !exited);
-        let mut message = MachineOrders::stopping(unexpected.map(|(attempt, _)| attempt));
+        let mut message = MachineOrders::with_stops(unexpected.map(|(attempt, _)| attempt));
         if machine.fenced.is_some() && machine.orders_due {
-            for key in &machine.places {
+            for key in &machine.tasks {
                 let place = self.jobs.get_mut(&key.0).and_then(|job| job.places.get_mut(&key.1)).expect("placed");
                 if place.stop.is_some() {
                     stop_place(now, via, key, place, &mut message);
@@ -76,36 +76,36 @@
 
     /// Calls a machine to see whether it lives, and tells it what it must stop.
     pub(super) fn probe(&mut self, env: &mut Env, name: &Name) {
-        let MachineOrders { orders, .. } = self.stops_for(env.steady(), name, Via::Direct);
-        self.direct(env, name, orders);
+        let MachineOrders { orders, .. } = self.stops_for(env.steady(), name, Channel::Direct);
+        self.start_direct_call(env, name, orders);
     }
 
     /// A call was answered: what its machine must stop still, if anything, goes with the next one. A worker that
     /// was told and goes on all the same is given a moment.
     pub(super) fn repeat_stops(&mut self, now: Instant, name: &Name, told: bool) {
-        let Some(machine) = self.machines.get_mut(name).filter(|machine| machine.has_stops) else {
+        let Some(machine) = self.machines.get_mut(name).filter(|machine| machine.has_immediate_stops) else {
             return;
         };
         if told {
-            machine.direct_from = Some(now + REPEAT_STOP);
-            machine.postponed = true;
+            machine.next_call_at = Some(now + REPEAT_STOP);
+            machine.call_postponed = true;
         } else {
             self.call_soon(name);
         }
     }
 
     /// Whether the machine was seen to run what must end at once.
-    pub(super) fn must_stop(&self, machine: &Machine) -> bool {
+    pub(super) fn has_task_to_stop_now(&self, machine: &Machine) -> bool {
         let must_end = |(job, task): &TaskKey| {
             let place = self.jobs.get(job).and_then(|job| job.places.get(task));
             place.is_some_and(|place| place.stage.is_seen() && place.stop.is_some_and(|stop| stop.is_immediate()))
         };
-        machine.unexpected.iter().any(|(_, exited)| !exited) || machine.places.iter().any(must_end)
+        machine.unexpected.iter().any(|(_, exited)| !exited) || machine.tasks.iter().any(must_end)
     }
 }
 
 /// Adds what the machine of a task that must leave should be told of it now.
-fn stop_place(now: Instant, via: Via, key: &TaskKey, place: &mut Place, message: &mut MachineOrders) {
+fn stop_place(now: Instant, via: Channel, key: &TaskKey, place: &mut Place, message: &mut MachineOrders) {
     let Some(stop) = place.stop.as_mut().filter(|_| !matches!(place.stage, Stage::Planned | Stage::Inherited)) else {
         return;
     };
@@ -114,10 +114,10 @@
         // The start may have been lost or be late: started and stopped at once,
         // the entry that remains keeps a late copy from running.
         let start = Order::Start { task: task.clone(), attempt };
-        via == Via::Report && message.add([start, Order::Stop { task, attempt, grace_s: 0.0 }])
+        via == Channel::Report && message.try_add_stops([start, Order::Stop { task, attempt, grace_s: 0.0 }])
     } else {
         let due = is_due(now, stop, place.stage);
-        due && message.add([Order::Stop { task, attempt, grace_s: stop.grace_s }])
+        due && message.try_add_stops([Order::Stop { task, attempt, grace_s: stop.grace_s }])
     };
     if sent {
         stop.sent = Some(now);
--- a/crates/core/src/fleet/survey.rs
+++ b/crates/core/src/fleet/survey.rs
@@ -36,7 +36,7 @@
     /// machines from a cut of the network, long before most of their reports are overdue.
     pub(super) fn survey(&mut self, env: &mut Env, ask: usize, silent: Silent, up: Silent) {
         let now = env.steady();
-        let due = self.survey.asked.is_none_or(|t| now.duration_since(t) >= SURVEY_PERIOD);
+        let due = self.survey.started_at.is_none_or(|t| now.duration_since(t) >= SURVEY_PERIOD);
         if ask == 0 {
             if due {
                 self.survey = Survey::default();
@@ -44,17 +44,18 @@
             return;
         }
         if due {
-            let free = |m: &&Machine| m.up && !m.leaving && !m.unproven && m.direct.is_none() && !m.addr.is_empty();
+            let free =
+                |m: &&Machine| m.up && !m.releasing && !m.unverified && m.direct_call.is_none() && !m.addr.is_empty();
             let others: Vec<Name> = self.machines.values().filter(free).map(|m| m.name.clone()).collect();
             let most = ask.min(self.free_calls(env));
             let sample: Vec<Name> = others.into_iter().sample(&mut env.rng, most);
             sample.iter().for_each(|name| self.probe(env, name));
-            (self.survey.asked, self.survey.sample) = (Some(now), sample);
+            (self.survey.started_at, self.survey.sample) = (Some(now), sample);
         }
-        if self.survey.asked.is_some_and(|t| now.duration_since(t) >= SURVEY_ANSWERED) {
-            self.judge_sample(up);
+        if self.survey.started_at.is_some_and(|t| now.duration_since(t) >= SURVEY_ANSWERED) {
+            self.evaluate_sample(up);
         }
-        let known = self.survey.silent;
+        let known = self.survey.unresponsive;
         let silent = Silent { all: silent.all.max(known.all), ordinary: silent.ordinary.max(known.ordinary) };
         // Spot machines alone are more likely taken back.
         let many = |silent: usize, up: usize| silent * PARTED_SHARE > up;
@@ -62,63 +63,63 @@
             && many(silent.all, up.all)
             && (up.ordinary == 0 || many(silent.ordinary, up.ordinary));
         if parted {
-            if self.survey.parted_at.is_none() {
+            if self.survey.partitioned_at.is_none() {
                 let (silent, of) = (silent.all, up.all);
                 tracing::info!(silent, of, "many machines are silent at once: waiting for their leases to end");
             }
-            self.survey.parted_at = Some(now);
-        } else if self.survey.parted_at.is_some_and(|t| now.duration_since(t) >= SURVEY_PERIOD) {
+            self.survey.partitioned_at = Some(now);
+        } else if self.survey.partitioned_at.is_some_and(|t| now.duration_since(t) >= SURVEY_PERIOD) {
             // Not before: when a cut ends, the last machines get their time to answer, too.
-            self.survey.parted_at = None;
+            self.survey.partitioned_at = None;
         }
     }
 
     /// What the sample shows, now that its answers are in.
-    fn judge_sample(&mut self, up: Silent) {
+    fn evaluate_sample(&mut self, up: Silent) {
         let mut sample = SurveySample::default();
         for machine in self.survey.sample.iter().filter_map(|name| self.machines.get(name)) {
-            sample.note(&machine.zone, machine.spot, machine.probes_failed > 0, machine.failed_calls > 0);
+            sample.note(&machine.zone, machine.spot, machine.failed_probes > 0, machine.failed_calls > 0);
         }
-        self.survey.cut_zones = sample.cut_zones();
-        self.survey.silent = sample.silent_of(up);
+        self.survey.unreachable_zones = sample.cut_zones();
+        self.survey.unresponsive = sample.silent_of(up);
         // Be they heard or not: other nodes may hand their reports on.
-        self.survey.most = sample.most_are_mute();
+        self.survey.most_unreachable = sample.most_are_mute();
     }
 
     /// Whether answers of a sample are still to come: it may be this node that is out of reach.
-    pub(super) fn asking(&self, now: Instant) -> bool {
-        let pending = |name| self.machines.get(name).is_some_and(|m: &Machine| m.direct.is_some());
-        self.survey.asked.is_some_and(|at| now.duration_since(at) < SURVEY_LONGEST)
+    pub(super) fn survey_pending(&self, now: Instant) -> bool {
+        let pending = |name| self.machines.get(name).is_some_and(|m: &Machine| m.direct_call.is_some());
+        self.survey.started_at.is_some_and(|at| now.duration_since(at) < SURVEY_LONGEST)
             && self.survey.sample.iter().any(pending)
     }
 
     /// Whether a silent machine is likely cut off, with many others, and not dead.
-    pub fn parted(&self, machine: &Machine) -> bool {
-        machine.probes_failed > 0 && (self.survey.parted_at.is_some() || self.zone_is_cut(&machine.zone))
+    pub fn is_partitioned(&self, machine: &Machine) -> bool {
+        machine.failed_probes > 0 && (self.survey.partitioned_at.is_some() || self.zone_is_cut(&machine.zone))
     }
 
     /// When the lease of a machine that is cut off has likely ended. An earlier leader that is
     /// cut off with it may go on answering it; one that is known to be silent fell before its
     /// key did.
-    pub(super) fn spared_until(&self, env: &Env, machine: &Machine) -> Instant {
+    pub(super) fn likely_lease_end(&self, env: &Env, machine: &Machine) -> Instant {
         let lease = env.facts.lease;
         match machine.fenced {
-            Some(_) => machine.heard + lease,
+            Some(_) => machine.last_heard + lease,
             None if self.old_known => self.since + lease.saturating_sub(env.policy.lead_ttl),
-            None => self.lease_bounds(env).end(machine),
+            None => self.lease_bounds(env).expires_at(machine),
         }
     }
 
     /// Whether what is known of the machines is too little to rent by: a new leader learns from
     /// the cloud's list of those without tasks, and the kind of the others; and when many fall
     /// silent it may be this node's network. Each mistake would be a hundred machines.
-    pub fn fleet_unclear(&self, env: &Env) -> bool {
-        let asking = self.survey.asked.is_some_and(|at| env.steady().duration_since(at) < SURVEY_ANSWERED);
-        (self.inherited && !self.renting.listed) || self.survey.most || asking
+    pub fn fleet_view_unreliable(&self, env: &Env) -> bool {
+        let asking = self.survey.started_at.is_some_and(|at| env.steady().duration_since(at) < SURVEY_ANSWERED);
+        (self.inherited && !self.renting.listed) || self.survey.most_unreachable || asking
     }
 
     /// Whether many machines are silent or a sample is asked: no time to move work.
-    pub fn survey_suspects(&self) -> bool {
-        self.survey.asked.is_some() || self.survey.parted_at.is_some()
+    pub fn survey_active(&self) -> bool {
+        self.survey.started_at.is_some() || self.survey.partitioned_at.is_some()
     }
 }
--- a/crates/core/src/fleet/tasks.rs
+++ b/crates/core/src/fleet/tasks.rs
@@ -10,7 +10,7 @@
 use crate::term::Term;
 
 impl Term {
-    pub(super) fn task_seen(&mut self, env: &mut Env, key: &TaskKey, report: &TaskReport) {
+    pub(super) fn apply_task_report(&mut self, env: &mut Env, key: &TaskKey, report: &TaskReport) {
         let now = env.steady();
         let job = self.jobs.get_mut(&key.0).expect("placed");
         let place = job.places.get_mut(&key.1).expect("placed");
@@ -25,11 +25,11 @@
                     place.running = Some(now);
                     job.running += 1;
                     let machine = self.machines.get_mut(&place.machine).expect("placed");
-                    machine.images.used(&job.spec.image, job.spec.image_gb);
+                    machine.images.mark_used(&job.spec.image, job.spec.image_gb);
                 }
             }
             TaskState::Exited => {
-                self.task_exited(env, key, report.why.unwrap_or(Cause::Error));
+                self.handle_task_exit(env, key, report.why.unwrap_or(Cause::Error));
                 return;
             }
         }
@@ -47,7 +47,7 @@
         }
     }
 
-    fn task_exited(&mut self, env: &mut Env, key: &TaskKey, why: Cause) {
+    fn handle_task_exit(&mut self, env: &mut Env, key: &TaskKey, why: Cause) {
         let now = env.steady();
         let job = self.jobs.get_mut(&key.0).expect("placed");
         let place = job.places[&key.1].clone();
@@ -60,10 +60,10 @@
                     job.learn_run(run_s);
                     self.speculation.finished(&key.0, &place.machine, run_s);
                 }
-                self.succeeded(&key.0, &place);
+                self.task_succeeded(&key.0, &place);
             }
             Cause::Stopped => {}
-            Cause::Error => again = self.failed(now, key, &place),
+            Cause::Error => again = self.task_failed(now, key, &place),
             Cause::NoRoom => {
                 let machine = self.machines.get_mut(&place.machine).expect("placed");
                 machine.full_until = Some(now + Duration::from_secs(2));
@@ -72,19 +72,19 @@
             Cause::Unknown => again = now + Duration::from_secs(5),
         }
         tracing::debug!(job = &*key.0, task = key.1, machine = &*place.machine, ?why, "exited");
-        self.place_empty(env, key, again);
+        self.clear_placement(env, key, again);
         let machine = self.machines.get_mut(&place.machine).expect("placed");
         machine.exited.insert((format!("{}/{}", key.0, key.1), place.attempt), key.clone());
         self.after_change(&key.0);
     }
 
-    fn succeeded(&mut self, job: &Name, place: &Place) {
+    fn task_succeeded(&mut self, job: &Name, place: &Place) {
         let machine = self.machines.get_mut(&place.machine).expect("placed");
-        machine.strikes.retain(|_, at| place.placed < *at);
+        machine.failed_jobs.retain(|_, at| place.placed < *at);
         // A job that works elsewhere clears itself of the failures it had.
         let failed_on = self.jobs[job].failed_on.clone();
         for name in failed_on.iter().filter(|name| **name != place.machine) {
-            if self.machines.get(name).is_some_and(|m| m.strikes.contains_key(job)) {
+            if self.machines.get(name).is_some_and(|m| m.failed_jobs.contains_key(job)) {
                 self.quarantine(name);
             }
         }
@@ -92,7 +92,7 @@
 
     /// A task failed. Tells machines that fail every task apart from jobs that fail
     /// everywhere; returns when the task may be tried again.
-    fn failed(&mut self, now: Instant, key: &TaskKey, place: &Place) -> Instant {
+    fn task_failed(&mut self, now: Instant, key: &TaskKey, place: &Place) -> Instant {
         let job = self.jobs.get_mut(&key.0).expect("placed");
         job.failed_on.insert(place.machine.clone());
         job.failures += 1;
@@ -104,8 +104,8 @@
         let failures = job.failures;
         let machine = self.machines.get_mut(&place.machine).expect("placed");
         if !bad_job {
-            machine.strikes.insert(key.0.clone(), now);
-            if works || machine.strikes.len() >= 2 {
+            machine.failed_jobs.insert(key.0.clone(), now);
+            if works || machine.failed_jobs.len() >= 2 {
                 let name = place.machine.clone();
                 self.quarantine(&name);
             }
@@ -120,7 +120,7 @@
         {
             tracing::info!(
                 machine = &**name,
-                jobs = machine.strikes.len(),
+                jobs = machine.failed_jobs.len(),
                 "quarantined: it fails the tasks it starts"
             );
             machine.quarantined = true;
@@ -128,7 +128,7 @@
     }
 
     /// The place of a task is proven empty.
-    pub fn place_empty(&mut self, env: &mut Env, key: &TaskKey, again: Instant) {
+    pub fn clear_placement(&mut self, env: &mut Env, key: &TaskKey, again: Instant) {
         let now = env.steady();
         let Some(job) = self.jobs.get_mut(&key.0) else {
             return;
@@ -145,7 +145,7 @@
         job.put_back(key.1, again);
         self.quotas.sub(&job.spec);
         if let Some(machine) = self.machines.get_mut(&place.machine) {
-            machine.release(key, &job.spec, now);
+            machine.remove_task(key, &job.spec, now);
         }
         self.records.changed(key.clone(), None);
         self.task_left(now, key, again > now);
@@ -161,7 +161,7 @@
         };
         if !place.sent {
             let now = env.steady();
-            self.place_empty(env, &(job.clone(), task), now);
+            self.clear_placement(env, &(job.clone(), task), now);
             return;
         }
         let stop = StopRequest::new(grace);
@@ -170,7 +170,7 @@
             let name = place.machine.clone();
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.orders_due = true;
-                machine.has_stops |= stop.is_immediate();
+                machine.has_immediate_stops |= stop.is_immediate();
             }
             self.call_soon(&name);
         }
@@ -178,16 +178,16 @@
 
     /// The cloud takes a spot machine away: what saves is told to save, what cannot
     /// finish in time is moved at once.
-    pub(super) fn notice(&mut self, env: &mut Env, name: &Name, notice_s: Option<f64>) {
+    pub(super) fn handle_reclaim_notice(&mut self, env: &mut Env, name: &Name, notice_s: Option<f64>) {
         let now = env.steady();
         let Some(left) = notice_s else { return };
         let machine = self.machines.get_mut(name).expect("reported");
         let left = Duration::from_secs_f64(left.clamp(0.0, 1e6));
-        if machine.taken_at.is_none() {
-            tracing::info!(machine = &**name, in_s = left.as_secs(), tasks = machine.places.len(), "to be taken");
+        if machine.reclaimed_at.is_none() {
+            tracing::info!(machine = &**name, in_s = left.as_secs(), tasks = machine.tasks.len(), "to be taken");
         }
-        machine.taken_at = Some(now + left);
-        let keys: Vec<TaskKey> = machine.places.iter().cloned().collect();
+        machine.reclaimed_at = Some(now + left);
+        let keys: Vec<TaskKey> = machine.tasks.iter().cloned().collect();
         for (job, task) in keys {
             let Some(owner) = self.jobs.get(&job) else {
                 continue;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -31,6 +31,6 @@
 
 pub use env::Now;
 pub use facts::{Facts, Objective, Policy, Team};
-pub use fleet::stop_account::AwaitedStops;
+pub use fleet::stop_statistics::PendingStops;
 pub use io::{Answer, Call, CloudAnswer, CloudOp, Input, Outcome, Output, Req, StoreAnswer, StoreOp, Urgency};
 pub use node::Node;
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -17,8 +17,8 @@
 use crate::election::state::{Election, LEADER_KEY};
 use crate::env::{Env, Now};
 use crate::facts::{Facts, Policy};
-use crate::fleet::Tasks;
-use crate::fleet::stop_account::AwaitedStops;
+use crate::fleet::ReportedTasks;
+use crate::fleet::stop_statistics::PendingStops;
 use crate::io::*;
 use crate::relay::state::{Relaying, ReportOutcome, no_tasks};
 use crate::term::Term;
@@ -125,8 +125,8 @@
     }
 
     /// What of cancelled jobs still has places, if this node leads.
-    pub fn awaited_stops(&self, now: Instant) -> Option<AwaitedStops> {
-        self.term.as_ref().map(|term| term.awaited_stops(now))
+    pub fn pending_stops(&self, now: Instant) -> Option<PendingStops> {
+        self.term.as_ref().map(|term| term.pending_stops(now))
     }
 
     /// Takes one input; returns what is to be sent and answered.
@@ -219,7 +219,7 @@
                 }
             }
             Purpose::Probe
-            | Purpose::KeepTypes
+            | Purpose::WriteTypes
             | Purpose::Types
             | Purpose::Rent(_)
             | Purpose::Order { .. }
@@ -289,7 +289,7 @@
             self.env.answer(req, answer);
             return;
         }
-        match self.answer_report(report, Tasks::Unread(&unread)) {
+        match self.answer_report(report, ReportedTasks::Raw(&unread)) {
             ReportOutcome::Answer(answer) => self.env.answer(req, answer),
             ReportOutcome::TasksNeeded => unreachable!("its tasks are there"),
             ReportOutcome::Elsewhere(report) => {
@@ -302,7 +302,7 @@
     }
 
     /// The leader's answer to a report, be it the worker's own call or handed on.
-    pub(crate) fn answer_report(&mut self, report: Report, tasks: Tasks) -> ReportOutcome {
+    pub(crate) fn answer_report(&mut self, report: Report, tasks: ReportedTasks) -> ReportOutcome {
         let Some(term) = &mut self.term else {
             return ReportOutcome::Elsewhere(report);
         };
@@ -318,7 +318,7 @@
             // whoever cancelled a job of which this node cannot have heard.
             return ReportOutcome::Answer(Answer::later(503, "the state service does not answer"));
         }
-        term.report(&mut self.env, report, tasks).map_or(ReportOutcome::TasksNeeded, ReportOutcome::Answer)
+        term.handle_report(&mut self.env, report, tasks).map_or(ReportOutcome::TasksNeeded, ReportOutcome::Answer)
     }
 
     fn ordered(&mut self, call: Call, outcome: Outcome<(u16, Report)>) {
@@ -332,7 +332,7 @@
             self.step_down("a worker has seen a higher token");
             return;
         }
-        term.ordered(&mut self.env, &machine, outcome);
+        term.direct_call_finished(&mut self.env, &machine, outcome);
     }
 
     // Reigns.
@@ -352,7 +352,7 @@
         if let Some(term) = self.term.take() {
             tracing::info!(token = term.token, why, "stepping down");
         }
-        self.env.calls.retain(|_, purpose| !purpose.of_term());
+        self.env.calls.retain(|_, purpose| !purpose.belongs_to_term());
         self.election_lost();
     }
 }
--- a/crates/core/src/node/machine_types.rs
+++ b/crates/core/src/node/machine_types.rs
@@ -17,7 +17,7 @@
         let first = self.env.types.is_empty();
         self.env.types = Arc::new(types);
         if let Some(term) = &mut self.term {
-            term.types_changed(&self.env);
+            term.update_machine_types(&self.env);
         }
         if first || self.term.is_some() {
             let value = serde_json::to_value(&*self.env.types).expect("types always encode");
@@ -25,7 +25,7 @@
                 return;
             }
             let txn = rushyoke_wire::store::Txn::default().put(TYPES_KEY, value);
-            self.env.store(Purpose::KeepTypes, Urgency::Low, StoreOp::Txn(txn));
+            self.env.store(Purpose::WriteTypes, Urgency::Low, StoreOp::Txn(txn));
         }
     }
 
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -108,7 +108,7 @@
 
     /// CPUs that are free on ordinary machines.
     pub fn ordinary_left(&self, now: Instant) -> f64 {
-        let ordinary = self.machines.values().filter(|m| !m.spot && m.usable(now));
+        let ordinary = self.machines.values().filter(|m| !m.spot && m.is_schedulable(now));
         ordinary.map(|m| m.total.cpus - m.used.cpus).sum()
     }
 
@@ -154,13 +154,13 @@
         job.places.insert(task, place);
         self.quotas.add(&job.spec);
         let target = self.machines.get_mut(machine).expect("chosen");
-        target.hold((name.clone(), task), &job.spec);
-        if let Some(claim) = &mut target.claim
+        target.add_task((name.clone(), task), &job.spec);
+        if let Some(claim) = &mut target.reservation
             && claim.job == *name
         {
-            claim.room.sub(Room::of(&job.spec));
-            if claim.room.is_nothing() {
-                target.claim = None;
+            claim.resources.sub(Room::of(&job.spec));
+            if claim.resources.is_nothing() {
+                target.reservation = None;
             }
         }
         tracing::debug!(job = &**name, task, machine = &**machine, attempt, "placed");
@@ -212,7 +212,7 @@
         let mut fitting: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|m| m.usable(now) && allowed(&job.spec, m))
+            .filter(|m| m.is_schedulable(now) && allowed(&job.spec, m))
             .filter(|m| zones.as_ref().is_none_or(|zones| zones.contains(&m.zone)))
             .filter(|m| self.room_for(m, &job.id).holds(need) && self.zone_admits(m, need))
             .filter(|m| !job.shuns(&m.name))
@@ -235,7 +235,7 @@
         // but replicas of one service apart, so that one machine's end costs one.
         let (hosting, mates) = if job.spec.kind == Kind::Service {
             let key = |task| (job.id.clone(), task);
-            let mates = machine.places.range(key(0)..=key(u32::MAX)).count();
+            let mates = machine.tasks.range(key(0)..=key(u32::MAX)).count();
             (if machine.hosts_service() { 0.0 } else { 4.0 }, mates as f64 * 1.5)
         } else {
             (0.0, 0.0)
@@ -265,16 +265,16 @@
     /// How long the job's image takes to be on the machine. Images that are fetched at
     /// the same time may share the rate.
     pub fn fetch_s(&self, env: &Env, job: &Job, machine: &Machine) -> f64 {
-        if machine.images.holds(&job.spec.image) {
+        if machine.images.contains(&job.spec.image) {
             return 0.0;
         }
         let rate = env.type_named(&machine.kind).map_or(1.0, |k| k.fetch_gb_per_s.max(0.01));
         let alone = job.spec.image_gb / rate;
         let mut fetched: BTreeSet<&str> = BTreeSet::new();
-        for (name, task) in &machine.places {
+        for (name, task) in &machine.tasks {
             let Some(owner) = self.jobs.get(name) else { continue };
             let waits = owner.places.get(task).is_some_and(|place| place.running.is_none());
-            if waits && !machine.images.holds(&owner.spec.image) {
+            if waits && !machine.images.contains(&owner.spec.image) {
                 fetched.insert(&owner.spec.image);
             }
         }
@@ -293,11 +293,11 @@
     /// Free room on a machine for this job: room made for another is left alone.
     pub fn room_for(&self, machine: &Machine, job: &Name) -> Room {
         let mut room = self.free_room(machine);
-        if let Some(claim) = &machine.claim
+        if let Some(claim) = &machine.reservation
             && claim.job != *job
             && !self.passes_before(job, &claim.job)
         {
-            room.sub(claim.room);
+            room.sub(claim.resources);
         }
         room
     }
--- a/crates/core/src/place/pass.rs
+++ b/crates/core/src/place/pass.rs
@@ -205,7 +205,7 @@
     /// within a pass, and most jobs that wait in a full fleet need more.
     fn most_room(&self, now: Instant) -> [Room; 2] {
         let mut most = [Room::default(); 2];
-        for machine in self.machines.values().filter(|m| m.usable(now)) {
+        for machine in self.machines.values().filter(|m| m.is_schedulable(now)) {
             let free = machine.total.minus(machine.used);
             let kinds = if machine.spot { &mut most[..1] } else { &mut most[..] };
             kinds.iter_mut().for_each(|room| room.widen(free));
--- a/crates/core/src/preempt.rs
+++ b/crates/core/src/preempt.rs
@@ -8,7 +8,7 @@
 use rushyoke_wire::job::{Kind, Priority};
 
 use crate::env::Env;
-use crate::fleet::{Claim, Machine};
+use crate::fleet::{Machine, Reservation};
 use crate::jobs::*;
 use crate::place::{CLAIM_FOR, allowed};
 use crate::quota::Room;
@@ -64,8 +64,8 @@
         let claimed: u32 = self
             .machines
             .values()
-            .filter_map(|m| m.claim.as_ref().filter(|claim| claim.job == *name && claim.made))
-            .map(|claim| claim.room.times(need))
+            .filter_map(|m| m.reservation.as_ref().filter(|claim| claim.job == *name && claim.by_preemption))
+            .map(|claim| claim.resources.times(need))
             .sum();
         let mut wanted = job.waiting().min(quota).saturating_sub(claimed);
         for _ in 0..PER_PASS {
@@ -91,7 +91,8 @@
             }
             let until = env.steady() + CLAIM_FOR;
             let machine = self.machines.get_mut(&plan.machine).expect("planned");
-            machine.claim = Some(Claim { job: name.clone(), room: plan.freed, until, made: true });
+            machine.reservation =
+                Some(Reservation { job: name.clone(), resources: plan.freed, until, by_preemption: true });
         }
     }
 
@@ -104,20 +105,21 @@
         let need = Room::of(&job.spec);
         let zones = self.zones_for(job);
         let fits = |m: &&Machine| {
-            m.usable(now)
-                && m.claim.is_none()
+            m.is_schedulable(now)
+                && m.reservation.is_none()
                 && allowed(&job.spec, m)
                 && m.total.holds(need)
                 && zones.as_ref().is_none_or(|zones| zones.contains(&m.zone))
         };
-        let held = self.machines.values().filter(|m| m.claim.as_ref().is_some_and(|c| c.job == *name)).count();
+        let held = self.machines.values().filter(|m| m.reservation.as_ref().is_some_and(|c| c.job == *name)).count();
         let mut free: Vec<(f64, Name)> =
             self.machines.values().filter(fits).map(|m| (m.total.cpus - m.used.cpus, m.name.clone())).collect();
         free.sort_by(|a, b| b.0.total_cmp(&a.0));
         let wanted = (job.waiting() as usize).min(most).saturating_sub(held);
         for (_, machine) in free.into_iter().take(wanted) {
             let machine = self.machines.get_mut(&machine).expect("listed");
-            machine.claim = Some(Claim { job: name.clone(), room: need, until: now + HOLD_FOR, made: false });
+            machine.reservation =
+                Some(Reservation { job: name.clone(), resources: need, until: now + HOLD_FOR, by_preemption: false });
         }
     }
 
@@ -187,8 +189,8 @@
         let need = Room::of(&job.spec);
         let zones = self.zones_for(job);
         let fits = |machine: &&Machine| {
-            let taken = machine.claim.as_ref().is_some_and(|claim| claim.job != *name || claim.made);
-            machine.usable(now)
+            let taken = machine.reservation.as_ref().is_some_and(|claim| claim.job != *name || claim.by_preemption);
+            machine.is_schedulable(now)
                 && machine.in_open_zone()
                 && !taken
                 && allowed(&job.spec, machine)
@@ -204,7 +206,7 @@
         for machine in fitting {
             let mut victims: Vec<(f64, TaskKey, Room)> = Vec::new();
             let mut freed = self.free_room(machine);
-            for key in &machine.places {
+            for key in &machine.tasks {
                 let owner = &self.jobs[&key.0];
                 let place = &owner.places[&key.1];
                 if place.stop.is_some() {
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -79,14 +79,14 @@
                 break;
             };
             txn = txn.delete(key.clone());
-            batch.drops.push(key);
+            batch.deleted_keys.push(key);
         }
         if txn.writes.is_empty() {
             return;
         }
         self.records.in_flight = true;
         self.records.sent = Some(now);
-        let awaited = !batch.tasks.is_empty() || !batch.closed.is_empty();
+        let awaited = !batch.tasks.is_empty() || !batch.closed_jobs.is_empty();
         // Before the users' changes: a flood of submissions must not keep jobs from starting.
         let urgency = if awaited { Urgency::Record } else { Urgency::Low };
         env.store(Purpose::Record(RecordCall::Write(batch)), urgency, StoreOp::Txn(txn));
@@ -133,7 +133,7 @@
                 next = next.put(job_key(&name), serde_json::to_value(record).expect("records always encode"));
             }
             *txn = next;
-            batch.closed.push(name);
+            batch.closed_jobs.push(name);
         }
     }
 
@@ -207,7 +207,7 @@
             Outcome::Unknown => {
                 self.records.doubt = true;
                 self.records.read_segment = true;
-                self.records.read_jobs.extend(batch.closed.iter().cloned());
+                self.records.read_jobs.extend(batch.closed_jobs.iter().cloned());
                 self.requeue(batch);
             }
         }
@@ -221,13 +221,13 @@
             let turn = self.jobs.get(&name).filter(|_| planned).map(|job| Turn::of(&job.spec));
             self.records.changed((name, task), turn);
         }
-        for name in batch.closed {
+        for name in batch.closed_jobs {
             if let Some(job) = self.jobs.get_mut(&name) {
                 job.closing = false;
                 self.records.close(&name);
             }
         }
-        self.records.drops.extend(batch.drops);
+        self.records.drops.extend(batch.deleted_keys);
         self.moves_not_written(&batch.moves);
         if batch.failover {
             self.zones_not_written();
@@ -259,7 +259,7 @@
                 self.call_soon(&machine);
             }
         }
-        self.moves_durable(env, batch.booked);
+        self.moves_durable(env, batch.waiting_moves);
         for (name, page) in batch.pages {
             if let Some(job) = self.jobs.get_mut(&name) {
                 job.pages.insert(page, version);
@@ -267,7 +267,7 @@
                 self.records.drop_key(page_key(&name, page));
             }
         }
-        for name in batch.closed {
+        for name in batch.closed_jobs {
             let cancelled = self.jobs.get(&name).is_some_and(|job| job.cancelled);
             tracing::debug!(job = &*name, cancelled, "over");
             self.dependency_over(env, &name, if cancelled { RecordState::Cancelled } else { RecordState::Done });
--- a/crates/core/src/records/log.rs
+++ b/crates/core/src/records/log.rs
@@ -101,7 +101,7 @@
                 continue;
             }
             size.add(key, place, reran(key), addr_len);
-            batch.placed |= planned;
+            batch.new_placements |= planned;
             if planned && conditioned.insert(key.0.clone()) {
                 *txn = std::mem::take(txn).when(job_key(&key.0), jobs[&key.0].version);
             }
@@ -141,7 +141,7 @@
             let value = serde_json::to_value(record).expect("records always encode");
             *txn = std::mem::take(txn).put(record_key(part), value);
             batch.moves.push(part);
-            batch.booked.extend(booked);
+            batch.waiting_moves.extend(booked);
         }
         self.records.changed = waiting;
     }
@@ -192,7 +192,7 @@
         let Some(oldest) = self.records.sealed.front() else { return false };
         // Else the same tasks would be written round and round; and only where nobody waits for
         // this transaction, since what is written again takes changes from those who do.
-        let idle = batch.closed.is_empty() && !batch.placed;
+        let idle = batch.closed_jobs.is_empty() && !batch.new_placements;
         let sparse = idle && oldest.tasks.len() * TASK_BYTES < env.facts.value_bytes / 2;
         // The further behind, the more in one transaction.
         let behind = self.records.sealed.len().saturating_sub(segments_kept(env.facts.value_bytes));
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -90,7 +90,7 @@
         self.read_awaited(env);
         if self.last_look.is_none_or(|t| now.duration_since(t) >= Duration::from_millis(300)) {
             self.last_look = Some(now);
-            self.check_silence(env);
+            self.check_liveness(env);
         }
         if self.last_second.is_none_or(|t| now.duration_since(t) >= Duration::from_secs(1)) {
             self.last_second = Some(now);
--- a/crates/core/src/recover/load.rs
+++ b/crates/core/src/recover/load.rs
@@ -59,7 +59,7 @@
     pub fn loaded(&mut self, env: &mut Env, call: LoadCall, outcome: Outcome<StoreAnswer>) {
         match (call, outcome) {
             (LoadCall::Watch { sent }, outcome) => self.watched(env, sent, outcome),
-            (LoadCall::Awaited(job), outcome) => self.awaited_read(env, job, outcome),
+            (LoadCall::Dependency(job), outcome) => self.awaited_read(env, job, outcome),
             (LoadCall::Failover, Outcome::Answered(StoreAnswer::Item(item))) => {
                 self.waiting = false;
                 self.zones_read(env, item);
@@ -273,9 +273,9 @@
                 let name = &place.machine;
                 let machine = self.machines.entry(name.clone()).or_insert_with(|| {
                     let address = addresses.get(&**name).cloned().unwrap_or_default();
-                    Machine::inherited(name.clone(), address, now)
+                    Machine::from_record(name.clone(), address, now)
                 });
-                machine.hold((id.clone(), *task), &job.spec);
+                machine.add_task((id.clone(), *task), &job.spec);
                 self.quotas.add(&job.spec);
                 if let Some(balancer) = &mut self.balance {
                     let team = Name::from(job.spec.team.as_str());
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -16,7 +16,7 @@
 use rushyoke_wire::worker::{Elsewhere, Report, TaskReport};
 use serde_json::value::RawValue;
 
-use crate::fleet::{Tasks, digest};
+use crate::fleet::{ReportedTasks, digest};
 use crate::io::*;
 use crate::node::Node;
 use state::{Held, ReportOutcome, Told};
@@ -134,7 +134,7 @@
         if self.token() == Some(relay.token) {
             for relayed in relay.reports {
                 let (report, digest, full) = unpack(relayed);
-                let tasks = if full { Tasks::Listed(digest) } else { Tasks::Digest(digest) };
+                let tasks = if full { ReportedTasks::Parsed(digest) } else { ReportedTasks::Digest(digest) };
                 told.answers.push(match self.answer_report(report, tasks) {
                     ReportOutcome::Answer(Answer { status, body, retry_after_s }) => {
                         Some(RelayAnswer { status, body, retry_after_s })
--- a/crates/core/src/rent.rs
+++ b/crates/core/src/rent.rs
@@ -66,7 +66,7 @@
         let now = env.steady();
         self.repeat_rentals(env);
         self.list(env);
-        if !env.types.is_empty() && !self.fleet_unclear(env) {
+        if !env.types.is_empty() && !self.fleet_view_unreliable(env) {
             self.rent_what_is_missing(env);
         }
         self.empty_retiring(env);
@@ -213,7 +213,7 @@
         if matches!(outcome, Outcome::Answered(CloudAnswer::Released)) {
             for name in names {
                 tracing::info!(machine = &*name, "returned");
-                self.machine_gone(env, &name);
+                self.remove_machine(env, &name);
             }
             return;
         }
@@ -223,7 +223,7 @@
             // Surely not returned: it may be used again if it is heard of.
             if let Some(machine) = self.machines.get_mut(&name).filter(|_| !unsure) {
                 machine.release_sent = None;
-                machine.leaving = machine.suspect;
+                machine.releasing = machine.suspect;
             }
             self.renting.release_later(name);
         }
--- a/crates/core/src/rent/demand.rs
+++ b/crates/core/src/rent/demand.rs
@@ -161,7 +161,7 @@
         }
         // What runs on machines that are cut off will want room elsewhere when their leases end.
         for machine in self.machines.values().filter(|m| self.will_lose_work(m)) {
-            for (name, _) in &machine.places {
+            for (name, _) in &machine.tasks {
                 let job = &self.jobs[name];
                 // What is bound to its zone waits for it.
                 let elsewhere = job.spec.zone.as_ref() != Some(&machine.zone);
@@ -177,9 +177,9 @@
     fn supply(&self, env: &Env) -> Supply {
         let now = env.steady();
         let mut supply = Supply::default();
-        for machine in self.machines.values().filter(|m| m.counts()) {
+        for machine in self.machines.values().filter(|m| m.counts_as_capacity()) {
             let boot = env.type_named(&machine.kind).map_or(UNKNOWN_BOOT_S, |k| k.boot_s);
-            let late = !machine.up && now.duration_since(machine.known).as_secs_f64() > boot * LATE_BOOT;
+            let late = !machine.up && now.duration_since(machine.known_since).as_secs_f64() > boot * LATE_BOOT;
             // One that is known from a record only has room, but how much?
             if late || machine.kind.is_empty() {
                 continue;
--- a/crates/core/src/rent/returns.rs
+++ b/crates/core/src/rent/returns.rs
@@ -7,7 +7,7 @@
 
 use crate::calls::{Purpose, RentCall};
 use crate::env::Env;
-use crate::fleet::{Claim, Machine};
+use crate::fleet::{Machine, Reservation};
 use crate::io::*;
 use crate::jobs::*;
 use crate::place::{CLAIM_FOR, allowed};
@@ -26,11 +26,11 @@
         while self.renting.needs.front().is_some_and(|(t, _)| now.duration_since(*t) > window) {
             self.renting.needs.pop_front();
         }
-        let mut have: f64 = self.machines.values().filter(|m| m.counts()).map(|m| m.total.cpus).sum();
+        let mut have: f64 = self.machines.values().filter(|m| m.counts_as_capacity()).map(|m| m.total.cpus).sum();
         let mut candidates: Vec<(bool, bool, f64, Name)> = self
             .machines
             .values()
-            .filter(|m| m.up && m.counts())
+            .filter(|m| m.up && m.counts_as_capacity())
             .map(|m| (m.hosts_service(), m.spot, self.empty_in(now, m), m.name.clone()))
             .collect();
         // Those with replicas last, since these end with their service only; then the dearest
@@ -40,7 +40,7 @@
         let firm_jobs = self.jobs.values().filter(|job| !job.spec.spot);
         let firm_use: f64 = firm_jobs.map(|job| job.spec.cpus * job.places.len() as f64).sum();
         let firm_need = firm_use + self.renting.service_reserve(env);
-        let firm = self.machines.values().filter(|m| m.counts() && !m.spot);
+        let firm = self.machines.values().filter(|m| m.counts_as_capacity() && !m.spot);
         let mut firm_have: f64 = firm.map(|m| m.total.cpus).sum();
         let mut retiring = BTreeSet::new();
         for (_, spot, _, name) in candidates {
@@ -58,7 +58,7 @@
             retiring.insert(name);
         }
         for machine in self.machines.values_mut() {
-            machine.retiring = retiring.contains(&machine.name) || machine.was_drained(|drain| drain.retiring);
+            machine.retiring = retiring.contains(&machine.name) || machine.was_drained_for(|drain| drain.retiring);
         }
     }
 
@@ -76,19 +76,21 @@
         if self.zones_unhealthy() || self.jobs.values().any(|job| self.could_start(job)) {
             return;
         }
-        let replicas: u32 = self.machines.values().map(Machine::replicas).sum();
+        let replicas: u32 = self.machines.values().map(Machine::service_replicas).sum();
         let renting = &mut self.renting;
         renting.moves = (renting.moves + f64::from(replicas) * MOVED_SHARE).min(MOVES_SAVED);
         let mut free: Vec<(&Machine, Room)> = Vec::new();
-        for machine in self.machines.values().filter(|m| m.usable(now) && !m.retiring && m.claim.is_none()) {
+        for machine in
+            self.machines.values().filter(|m| m.is_schedulable(now) && !m.retiring && m.reservation.is_none())
+        {
             free.push((machine, self.free_room(machine)));
         }
         // The fullest first, so that the others can be returned.
         free.sort_by(|a, b| a.1.cpus.total_cmp(&b.1.cpus));
         let mut best: Option<(f64, Vec<(TaskKey, Name)>)> = None;
-        for machine in self.machines.values().filter(|m| m.retiring && !m.places.is_empty()) {
+        for machine in self.machines.values().filter(|m| m.retiring && !m.tasks.is_empty()) {
             let used = machine.used.cpus;
-            let replicas = f64::from(machine.replicas());
+            let replicas = f64::from(machine.service_replicas());
             if replicas > self.renting.moves || best.as_ref().is_some_and(|(least, _)| used >= *least) {
                 continue;
             }
@@ -102,7 +104,7 @@
                 let need = Room::of(&job.spec);
                 let target = room.iter_mut().find(|(m, r)| {
                     let apart = job.spec.kind == Kind::Array || takes_replica(m, machine, job, &targets);
-                    r.holds(need) && apart && m.images.holds(&job.spec.image)
+                    r.holds(need) && apart && m.images.contains(&job.spec.image)
                 });
                 let Some((target, room)) = target else { break };
                 room.sub(need);
@@ -123,8 +125,8 @@
             if spec.kind == Kind::Service {
                 self.renting.moves -= 1.0;
                 let until = now + CLAIM_FOR;
-                let claim = Claim { job: job.clone(), room: Room::of(&spec), until, made: true };
-                self.machines.get_mut(&target).expect("a target").claim = Some(claim);
+                let claim = Reservation { job: job.clone(), resources: Room::of(&spec), until, by_preemption: true };
+                self.machines.get_mut(&target).expect("a target").reservation = Some(claim);
             }
             self.stop_task(env, &job, task, spec.save_s);
         }
@@ -134,7 +136,7 @@
     /// nothing needs a move.
     fn movable(&self, now: Instant, machine: &Machine) -> Option<Vec<TaskKey>> {
         let mut moved = Vec::new();
-        for (name, task) in &machine.places {
+        for (name, task) in &machine.tasks {
             let job = &self.jobs[name];
             let place = &job.places[task];
             let ran = now.duration_since(place.running?).as_secs_f64();
@@ -159,7 +161,7 @@
         if machine.hosts_service() {
             return WITH_REPLICAS_S + machine.used.cpus;
         }
-        let left = machine.places.iter().filter_map(|(name, task)| {
+        let left = machine.tasks.iter().filter_map(|(name, task)| {
             let job = self.jobs.get(name)?;
             let ran = job.places.get(task)?.running.map_or(0.0, |t| now.duration_since(t).as_secs_f64());
             Some((job.mean_run_s - ran).max(1.0))
@@ -171,15 +173,15 @@
         let mut lost = Vec::new();
         for machine in self.machines.values() {
             let boot = env.type_named(&machine.kind).map_or(60.0, |k| k.boot_s.max(1.0));
-            let age = now.duration_since(machine.known).as_secs_f64();
-            if machine.leaving {
+            let age = now.duration_since(machine.known_since).as_secs_f64();
+            if machine.releasing {
                 if machine.release_sent.is_none() {
                     lost.push(machine.name.clone());
                 }
             } else if !machine.up && !machine.kind.is_empty() && age > boot * LOST_BOOT {
                 tracing::info!(machine = &*machine.name, age_s = age, "never came up; given up");
                 lost.push(machine.name.clone());
-            } else if machine.quarantined && machine.places.is_empty() {
+            } else if machine.quarantined && machine.tasks.is_empty() {
                 lost.push(machine.name.clone());
             }
         }
@@ -193,16 +195,16 @@
         let mut idle: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|m| m.up && m.counts() && m.places.is_empty() && !wanted(m))
+            .filter(|m| m.up && m.counts_as_capacity() && m.tasks.is_empty() && !wanted(m))
             // A move is on its way there.
             .filter(|m| m.total.minus(self.free_room(m)).is_nothing())
-            .filter(|m| m.retiring && now.duration_since(m.known) > MIN_CHARGE)
+            .filter(|m| m.retiring && now.duration_since(m.known_since) > MIN_CHARGE)
             .collect();
         // The dearest first.
         idle.sort_by_key(|m| m.spot);
         // Capacity takes a boot to come back, so a short lull is no reason to return any.
         let need = self.renting.needs.iter().map(|(_, n)| *n).fold(0.0, f64::max);
-        let mut have: f64 = self.machines.values().filter(|m| m.counts()).map(|m| m.total.cpus).sum();
+        let mut have: f64 = self.machines.values().filter(|m| m.counts_as_capacity()).map(|m| m.total.cpus).sum();
         for machine in idle {
             if have - machine.total.cpus >= need {
                 have -= machine.total.cpus;
@@ -211,7 +213,7 @@
         }
         for name in lost {
             let machine = self.machines.get_mut(&name).expect("listed");
-            machine.leaving = true;
+            machine.releasing = true;
             self.renting.release_later(name);
         }
     }
@@ -222,7 +224,7 @@
             return;
         }
         // One that was heard of again stays.
-        renting.returning.retain(|name| self.machines.get(name).is_none_or(|m| m.leaving));
+        renting.returning.retain(|name| self.machines.get(name).is_none_or(|m| m.releasing));
         let count = renting.returning.len().min(MOST_RETURNED);
         let names: Vec<Name> = renting.returning.drain(..count).collect();
         if names.is_empty() {
@@ -245,5 +247,5 @@
     target.zone == from.zone
         && allowed(&job.spec, target)
         && !taken.contains(&target.name)
-        && target.places.range(key(0)..=key(u32::MAX)).next().is_none()
+        && target.tasks.range(key(0)..=key(u32::MAX)).next().is_none()
 }
--- a/crates/core/src/speculate.rs
+++ b/crates/core/src/speculate.rs
@@ -13,7 +13,7 @@
 use rushyoke_wire::job::Kind;
 
 use crate::env::Env;
-use crate::fleet::{Claim, Machine};
+use crate::fleet::{Machine, Reservation};
 use crate::jobs::{Job, Name, Stage, TaskKey};
 use crate::place::allowed;
 use crate::quota::Room;
@@ -67,7 +67,7 @@
         let grace = if job.spec.checkpoint_s > 0.0 { job.spec.save_s } else { 0.0 };
         let target = self.machines.get_mut(&best.target).expect("a candidate");
         let until = now + crate::place::CLAIM_FOR;
-        target.claim = Some(Claim { job: best.key.0.clone(), room: need, until, made: true });
+        target.reservation = Some(Reservation { job: best.key.0.clone(), resources: need, until, by_preemption: true });
         self.stop_task(env, &best.key.0, best.key.1, grace);
     }
 
@@ -94,7 +94,7 @@
         for machine in self.machines.values_mut() {
             let mut running = 0;
             let mut compared = Vec::new();
-            for key in &machine.places {
+            for key in &machine.tasks {
                 let place = &self.jobs[&key.0].places[&key.1];
                 let (Stage::Running, Some(since)) = (place.stage, place.running) else {
                     continue;
@@ -107,11 +107,11 @@
             let value = straggler_value(&compared);
             let straggler = running > 0 && value > threshold * f64::from(running);
             if straggler {
-                machine.straggler_at = Some(now);
+                machine.last_straggling = Some(now);
             }
             // The mark stays for a while: its level follows what it finishes, and would
             // soon call it normal.
-            let straggler = machine.straggler_at.is_some_and(|t| now.duration_since(t) < MARKED_FOR);
+            let straggler = machine.last_straggling.is_some_and(|t| now.duration_since(t) < MARKED_FOR);
             if straggler != machine.straggler {
                 tracing::info!(machine = &*machine.name, level = machine.level, value, running, straggler, "straggler");
             } else if value > 0.0 {
@@ -124,7 +124,7 @@
                     "straggler value"
                 );
             }
-            machine.straggler = straggler || machine.was_drained(|drain| drain.straggling);
+            machine.straggler = straggler || machine.was_drained_for(|drain| drain.straggling);
         }
     }
 
@@ -132,7 +132,7 @@
         let now = env.steady();
         let mut choices = Vec::new();
         for machine in self.machines.values().filter(|m| m.straggler) {
-            for key in &machine.places {
+            for key in &machine.tasks {
                 let job = &self.jobs[&key.0];
                 let place = &job.places[&key.1];
                 let (Stage::Running, Some(since)) = (place.stage, place.running) else {
@@ -177,7 +177,7 @@
     fn table(&self, job: &Job, cells: &[Option<Cell>], levels: usize) -> Vec<(Option<f64>, f64)> {
         let need = Room::of(&job.spec);
         let mut table: Vec<(Option<f64>, f64)> = (0..levels).map(|l| (cells[l].map(|c| c.mean), 0.0)).collect();
-        for machine in self.machines.values().filter(|m| m.up && m.counts() && allowed(&job.spec, m)) {
+        for machine in self.machines.values().filter(|m| m.up && m.counts_as_capacity() && allowed(&job.spec, m)) {
             table[machine.level.min(levels - 1)].1 += f64::from(machine.total.times(need));
         }
         table
@@ -191,15 +191,15 @@
             m.name != *from
                 && !m.straggler
                 && m.level >= minimum
-                && m.claim.is_none()
-                && m.usable(now)
+                && m.reservation.is_none()
+                && m.is_schedulable(now)
                 && m.in_open_zone()
                 && allowed(&job.spec, m)
                 && zones.as_ref().is_none_or(|zones| zones.contains(&m.zone))
                 && self.room_for(m, &job.id).holds(need)
         };
         let best = self.machines.values().filter(fits).max_by(|a, b| {
-            a.images.holds(&job.spec.image).cmp(&b.images.holds(&job.spec.image)).then(a.level.cmp(&b.level))
+            a.images.contains(&job.spec.image).cmp(&b.images.contains(&job.spec.image)).then(a.level.cmp(&b.level))
         });
         best.map(|m| m.name.clone())
     }
--- a/crates/core/src/spread.rs
+++ b/crates/core/src/spread.rs
@@ -37,8 +37,8 @@
     let now = env.steady();
     let settled = machine.in_open_zone() && !machine.zone_unhealthy;
     settled
-        && machine.usable(now)
-        && machine.reports_to_us(now, env.facts.report)
+        && machine.is_schedulable(now)
+        && machine.lease_recently_renewed(now, env.facts.report)
         && !machine.retiring
         && !machine.straggler
 }
@@ -95,7 +95,7 @@
     fn candidates(&self, machine: &Name) -> Vec<Candidate> {
         let Some(machine) = self.term.machines.get(machine) else { return Vec::new() };
         let mut candidates: Vec<Candidate> = Vec::new();
-        for candidate in machine.places.iter().filter_map(|key| self.candidate(key)) {
+        for candidate in machine.tasks.iter().filter_map(|key| self.candidate(key)) {
             match candidates.iter_mut().find(|other| other.key.0 == candidate.key.0) {
                 // Tasks of a job are alike: the one with the most left gains the most.
                 Some(other) if other.left_s >= candidate.left_s => {}
@@ -109,7 +109,7 @@
     fn left_s(&self, machine: &Name) -> f64 {
         let now = self.env.steady();
         let horizon = self.balancer.settings().service_horizon.as_secs_f64();
-        let places = self.term.machines.get(machine).into_iter().flat_map(|machine| &machine.places);
+        let places = self.term.machines.get(machine).into_iter().flat_map(|machine| &machine.tasks);
         let left = places.map(|(name, task)| {
             let job = &self.term.jobs[name];
             if job.spec.kind == Kind::Service { horizon } else { left_s(now, job, &job.places[task]) }
@@ -124,7 +124,7 @@
         let room = self.term.room_without(self.balancer, target, &job.id);
         is_destination(target, self.env)
             && !reserved
-            && target.claim.is_none()
+            && target.reservation.is_none()
             && allowed(&job.spec, target)
             && !job.shuns(machine)
             && self.term.zones_for(job).is_none_or(|zones| zones.contains(&target.zone))
@@ -210,10 +210,10 @@
         let now = env.steady();
         let Some(mut balancer) = self.balance.take() else { return };
         for machine in self.machines.values() {
-            let claimed = machine.claim.as_ref().filter(|claim| claim.made).map(|claim| claim.room);
+            let claimed = machine.reservation.as_ref().filter(|claim| claim.by_preemption).map(|claim| claim.resources);
             let info = MachineInfo {
                 zone: Name::from(machine.zone.as_str()),
-                total: if machine.up && machine.counts() { machine.total } else { Room::default() },
+                total: if machine.up && machine.counts_as_capacity() { machine.total } else { Room::default() },
                 open: is_destination(machine, env),
                 claimed: claimed.unwrap_or_default(),
             };
@@ -221,7 +221,7 @@
         }
         let overdue = balancer.tick(now);
         // While bookings wait to be durable the state service is slow or silent: more would be no use.
-        if !self.survey_suspects()
+        if !self.survey_active()
             && !self.evacuates()
             && !balancer.moves().waits_longer(now, MoveState::Booked, BOOKED_SOON)
         {
@@ -381,10 +381,10 @@
             // Placement goes by tiers.
             _ if self.evacuates() => Some(GiveUp::Evacuation),
             // A new leader may not know it yet, or not have reached it.
-            Some(target) if !target.is_known() && now.duration_since(open.since) < KNOWN_SOON => return,
+            Some(target) if !target.is_fenced() && now.duration_since(open.since) < KNOWN_SOON => return,
             None if now.duration_since(open.since) < KNOWN_SOON => return,
             None => Some(GiveUp::DestinationGone),
-            Some(target) if !target.usable(now) => Some(GiveUp::DestinationUnfit),
+            Some(target) if !target.is_schedulable(now) => Some(GiveUp::DestinationUnfit),
             Some(target) if !self.takes_moved(target, open) => Some(GiveUp::DestinationFull),
             Some(_) => None,
         };
--- a/crates/core/src/term.rs
+++ b/crates/core/src/term.rs
@@ -12,9 +12,9 @@
 use crate::awaits::state::Awaited;
 use crate::env::Env;
 use crate::facts::{Facts, Policy};
-use crate::fleet::calls::CallReason;
+use crate::fleet::direct_calls::CallReason;
 use crate::fleet::machine::Machine;
-use crate::fleet::stop_account::StopAccount;
+use crate::fleet::stop_statistics::StopStatistics;
 use crate::fleet::survey::state::Survey;
 use crate::jobs::*;
 use crate::quota::{Quotas, Room};
@@ -112,7 +112,7 @@
     pub cut_off: bool,
     pub survey: Survey,
     /// Stops of cancelled tasks, for the log.
-    pub stops: StopAccount,
+    pub stops: StopStatistics,
     /// Whether the last report was refused, since the right to answer had lapsed.
     pub refuses_reports: bool,
     pub awaited: Awaited,
@@ -173,7 +173,7 @@
             progress: BTreeSet::new(),
             cut_off: false,
             survey: Survey::default(),
-            stops: StopAccount::default(),
+            stops: StopStatistics::default(),
             refuses_reports: false,
             awaited: Awaited::default(),
             balance: balancer(facts, policy),
--- a/crates/core/src/users.rs
+++ b/crates/core/src/users.rs
@@ -87,7 +87,9 @@
             UserCall::Compare { jobs } => self.compared(jobs, outcome),
             UserCall::Read { job, requests } => self.read_outcome(job, requests, outcome),
             UserCall::Refresh { job, group } => self.refreshed(&job, group, outcome),
-            UserCall::Dependencies { admission, asked } => self.dependencies_outcome(admission, asked, outcome),
+            UserCall::Dependencies { admission, queried: asked } => {
+                self.dependencies_outcome(admission, asked, outcome)
+            }
             UserCall::Create(creation) => self.create_outcome(creation, outcome),
             UserCall::Refuse { request, job, answer } => self.refuse_outcome(request, job, answer, outcome),
             UserCall::CancelRead { request, job } => self.cancel_read(request, job, outcome),
--- a/crates/core/src/users/submit.rs
+++ b/crates/core/src/users/submit.rs
@@ -64,7 +64,7 @@
         }
         // It succeeds if none of them exists, and else names those that do.
         let txn = asked.iter().fold(Txn::default(), |txn, id| txn.when(job_key(id), 0));
-        let call = UserCall::Dependencies { admission, asked };
+        let call = UserCall::Dependencies { admission, queried: asked };
         self.env.store(Purpose::User(call), Urgency::High, StoreOp::Txn(txn));
     }
 
@@ -106,12 +106,12 @@
             .when(job_key(&job), 0)
             .put(job_key(&job), serde_json::to_value(record).expect("records always encode"))
             .put(live_key(&job), serde_json::to_value(live).expect("records always encode"));
-        let call = UserCall::Create(Creation { request, job, tasks, awaits: awaits.into() });
+        let call = UserCall::Create(Creation { request, job, tasks, dependencies: awaits.into() });
         self.env.store(Purpose::User(call), Urgency::High, StoreOp::Txn(txn));
     }
 
     pub(super) fn create_outcome(&mut self, creation: Creation, outcome: Outcome<StoreAnswer>) {
-        let Creation { request, job, tasks, awaits } = creation;
+        let Creation { request, job, tasks, dependencies: awaits } = creation;
         match outcome {
             Outcome::Answered(StoreAnswer::Committed(version)) => {
                 let known = Known { state: RecordState::Open, tasks, version, awaits };
--- a/crates/rushyoke/src/drive.rs
+++ b/crates/rushyoke/src/drive.rs
@@ -168,7 +168,7 @@
         let waits = self.waits.load(Ordering::Relaxed);
         self.stats.borrow_mut().waits(waits);
         self.gauge(waits, late);
-        self.stats.borrow_mut().tick(now, || self.node.awaited_stops(now));
+        self.stats.borrow_mut().tick(now, || self.node.pending_stops(now));
         self.input(Input::Tick);
     }
 
--- a/crates/rushyoke/src/stats.rs
+++ b/crates/rushyoke/src/stats.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use hdrhistogram::Histogram;
-use rushyoke_core::AwaitedStops;
+use rushyoke_core::PendingStops;
 
 const PERIOD: Duration = Duration::from_secs(60);
 /// Delays are counted in milliseconds up to this one.
@@ -104,7 +104,7 @@
     }
 
     /// Writes the summary when it is due; `stops` tells those that await their effect, if this node leads.
-    pub fn tick(&mut self, now: Instant, stops: impl FnOnce() -> Option<AwaitedStops>) {
+    pub fn tick(&mut self, now: Instant, stops: impl FnOnce() -> Option<PendingStops>) {
         if now.duration_since(self.since) < PERIOD {
             return;
         }
@@ -122,7 +122,7 @@
         let counted = WORK.iter().zip(&self.work).map(|(name, count)| format!("{name} {count}"));
         let waits = self.waits - self.waited;
         tracing::info!(waits, "work: {}", counted.collect::<Vec<_>>().join(", "));
-        if let Some(AwaitedStops { jobs, tasks, oldest }) = stops() {
+        if let Some(PendingStops { jobs, tasks, oldest }) = stops() {
             tracing::info!(jobs, tasks, oldest_s = oldest.as_secs(), "cancelled tasks that still have places");
         }
         self.waited = self.waits;
