--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -160,7 +160,7 @@
             let Some(dependency) = self.awaited.unread.pop_first() else { return };
             if self.awaited.reading.insert(dependency.clone()) {
                 let op = StoreOp::Get(job_key(&dependency));
-                env.store(Purpose::Load(LoadCall::Awaited(dependency)), Urgency::High, op);
+                env.store(Purpose::Load(LoadCall::Dependency(dependency)), Urgency::High, op);
             }
         }
     }
--- a/crates/core/src/rent.rs
+++ b/crates/core/src/rent.rs
@@ -66,7 +66,7 @@
         let now = env.steady();
         self.retry_rentals(env);
         self.request_listing(env);
-        if !env.types.is_empty() && !self.fleet_unclear(env) {
+        if !env.types.is_empty() && !self.fleet_view_unreliable(env) {
             self.rent_shortfall(env);
         }
         self.drain_retiring(env);
@@ -218,7 +218,7 @@
         if matches!(outcome, Outcome::Answered(CloudAnswer::Released)) {
             for name in names {
                 tracing::info!(machine = &*name, "returned");
-                self.machine_gone(env, &name);
+                self.remove_machine(env, &name);
             }
             return;
         }
@@ -228,7 +228,7 @@
             // Surely not returned: it may be used again if it is heard of.
             if let Some(machine) = self.machines.get_mut(&name).filter(|_| !unsure) {
                 machine.release_sent = None;
-                machine.leaving = machine.suspect;
+                machine.releasing = machine.suspect;
             }
             self.renting.queue_release(name);
         }
--- a/crates/core/src/rent/releases.rs
+++ b/crates/core/src/rent/releases.rs
@@ -7,7 +7,7 @@
 
 use crate::calls::{Purpose, RentCall};
 use crate::env::Env;
-use crate::fleet::{Claim, Machine};
+use crate::fleet::{Machine, Reservation};
 use crate::io::*;
 use crate::jobs::*;
 use crate::place::{CLAIM_DURATION, meets_constraints};
@@ -29,11 +29,11 @@
         while self.renting.recent_needs.front().is_some_and(|(t, _)| now.duration_since(*t) > window) {
             self.renting.recent_needs.pop_front();
         }
-        let mut have: f64 = self.machines.values().filter(|m| m.counts()).map(|m| m.total.cpus).sum();
+        let mut have: f64 = self.machines.values().filter(|m| m.counts_as_capacity()).map(|m| m.total.cpus).sum();
         let mut candidates: Vec<(bool, bool, f64, Name)> = self
             .machines
             .values()
-            .filter(|m| m.up && m.counts())
+            .filter(|m| m.up && m.counts_as_capacity())
             .map(|m| (m.hosts_service(), m.spot, self.seconds_until_empty(now, m), m.name.clone()))
             .collect();
         // Those with replicas last, since these end with their service only; then the dearest
@@ -43,7 +43,7 @@
         let firm_jobs = self.jobs.values().filter(|job| !job.spec.spot);
         let firm_use: f64 = firm_jobs.map(|job| job.spec.cpus * job.placements.len() as f64).sum();
         let firm_need = firm_use + self.renting.service_reserve(env);
-        let firm = self.machines.values().filter(|m| m.counts() && !m.spot);
+        let firm = self.machines.values().filter(|m| m.counts_as_capacity() && !m.spot);
         let mut firm_have: f64 = firm.map(|m| m.total.cpus).sum();
         let mut retiring = BTreeSet::new();
         for (_, spot, _, name) in candidates {
@@ -61,7 +61,7 @@
             retiring.insert(name);
         }
         for machine in self.machines.values_mut() {
-            machine.retiring = retiring.contains(&machine.name) || machine.was_drained(|drain| drain.retiring);
+            machine.retiring = retiring.contains(&machine.name) || machine.was_drained_for(|drain| drain.retiring);
         }
     }
 
@@ -79,20 +79,22 @@
         if self.any_zone_unhealthy() || self.jobs.values().any(|job| self.has_startable_tasks(job)) {
             return;
         }
-        let replicas: u32 = self.machines.values().map(Machine::replicas).sum();
+        let replicas: u32 = self.machines.values().map(Machine::service_replicas).sum();
         let renting = &mut self.renting;
         renting.move_budget =
             (renting.move_budget + f64::from(replicas) * REPLICA_MOVES_PER_S_SHARE).min(MAX_SAVED_MOVES);
         let mut free: Vec<(&Machine, Room)> = Vec::new();
-        for machine in self.machines.values().filter(|m| m.usable(now) && !m.retiring && m.claim.is_none()) {
+        for machine in
+            self.machines.values().filter(|m| m.is_schedulable(now) && !m.retiring && m.reservation.is_none())
+        {
             free.push((machine, self.free_resources(machine)));
         }
         // The fullest first, so that the others can be returned.
         free.sort_by(|a, b| a.1.cpus.total_cmp(&b.1.cpus));
         let mut best: Option<(f64, Vec<(TaskKey, Name)>)> = None;
-        for machine in self.machines.values().filter(|m| m.retiring && !m.places.is_empty()) {
+        for machine in self.machines.values().filter(|m| m.retiring && !m.tasks.is_empty()) {
             let used = machine.used.cpus;
-            let replicas = f64::from(machine.replicas());
+            let replicas = f64::from(machine.service_replicas());
             if replicas > self.renting.move_budget || best.as_ref().is_some_and(|(least, _)| used >= *least) {
                 continue;
             }
@@ -106,7 +108,7 @@
                 let need = Room::of(&job.spec);
                 let target = room.iter_mut().find(|(m, r)| {
                     let apart = job.spec.kind == Kind::Array || can_take_replica(m, machine, job, &targets);
-                    r.holds(need) && apart && m.images.holds(&job.spec.image)
+                    r.holds(need) && apart && m.images.contains(&job.spec.image)
                 });
                 let Some((target, room)) = target else { break };
                 room.sub(need);
@@ -127,8 +129,8 @@
             if spec.kind == Kind::Service {
                 self.renting.move_budget -= 1.0;
                 let until = now + CLAIM_DURATION;
-                let claim = Claim { job: job.clone(), room: Room::of(&spec), until, made: true };
-                self.machines.get_mut(&target).expect("a target").claim = Some(claim);
+                let claim = Reservation { job: job.clone(), resources: Room::of(&spec), until, by_preemption: true };
+                self.machines.get_mut(&target).expect("a target").reservation = Some(claim);
             }
             self.stop_task(env, &job, task, spec.save_s);
         }
@@ -138,7 +140,7 @@
     /// nothing needs a move.
     fn tasks_to_move(&self, now: Instant, machine: &Machine) -> Option<Vec<TaskKey>> {
         let mut moved = Vec::new();
-        for (name, task) in &machine.places {
+        for (name, task) in &machine.tasks {
             let job = &self.jobs[name];
             let place = &job.placements[task];
             let ran = now.duration_since(place.running_since?).as_secs_f64();
@@ -163,7 +165,7 @@
         if machine.hosts_service() {
             return SERVICE_EMPTY_TIME_S + machine.used.cpus;
         }
-        let left = machine.places.iter().filter_map(|(name, task)| {
+        let left = machine.tasks.iter().filter_map(|(name, task)| {
             let job = self.jobs.get(name)?;
             let ran = job.placements.get(task)?.running_since.map_or(0.0, |t| now.duration_since(t).as_secs_f64());
             Some((job.mean_run_s - ran).max(1.0))
@@ -175,15 +177,15 @@
         let mut lost = Vec::new();
         for machine in self.machines.values() {
             let boot = env.type_named(&machine.kind).map_or(60.0, |k| k.boot_s.max(1.0));
-            let age = now.duration_since(machine.known).as_secs_f64();
-            if machine.leaving {
+            let age = now.duration_since(machine.known_since).as_secs_f64();
+            if machine.releasing {
                 if machine.release_sent.is_none() {
                     lost.push(machine.name.clone());
                 }
             } else if !machine.up && !machine.kind.is_empty() && age > boot * LOST_AFTER_BOOT_TIMES {
                 tracing::info!(machine = &*machine.name, age_s = age, "never came up; given up");
                 lost.push(machine.name.clone());
-            } else if machine.quarantined && machine.places.is_empty() {
+            } else if machine.quarantined && machine.tasks.is_empty() {
                 lost.push(machine.name.clone());
             }
         }
@@ -202,16 +204,16 @@
         let mut idle: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|m| m.up && m.counts() && m.places.is_empty() && !wanted(m))
+            .filter(|m| m.up && m.counts_as_capacity() && m.tasks.is_empty() && !wanted(m))
             // A move is on its way there.
             .filter(|m| m.total.minus(self.free_resources(m)).is_nothing())
-            .filter(|m| m.retiring && now.duration_since(m.known) > MIN_CHARGED_TIME)
+            .filter(|m| m.retiring && now.duration_since(m.known_since) > MIN_CHARGED_TIME)
             .collect();
         // The dearest first.
         idle.sort_by_key(|m| m.spot);
         // Capacity takes a boot to come back, so a short lull is no reason to return any.
         let need = self.renting.recent_needs.iter().map(|(_, n)| *n).fold(0.0, f64::max);
-        let mut have: f64 = self.machines.values().filter(|m| m.counts()).map(|m| m.total.cpus).sum();
+        let mut have: f64 = self.machines.values().filter(|m| m.counts_as_capacity()).map(|m| m.total.cpus).sum();
         for machine in idle {
             if have - machine.total.cpus >= need {
                 have -= machine.total.cpus;
@@ -220,7 +222,7 @@
         }
         for name in lost {
             let machine = self.machines.get_mut(&name).expect("listed");
-            machine.leaving = true;
+            machine.releasing = true;
             self.renting.queue_release(name);
         }
     }
@@ -234,7 +236,7 @@
             return;
         }
         // One that was heard of again stays.
-        renting.to_release.retain(|name| self.machines.get(name).is_none_or(|m| m.leaving));
+        renting.to_release.retain(|name| self.machines.get(name).is_none_or(|m| m.releasing));
         let count = renting.to_release.len().min(MAX_MACHINES_PER_RELEASE);
         let names: Vec<Name> = renting.to_release.drain(..count).collect();
         if names.is_empty() {
@@ -257,5 +259,5 @@
     target.zone == from.zone
         && meets_constraints(&job.spec, target)
         && !taken.contains(&target.name)
-        && target.places.range(key(0)..=key(u32::MAX)).next().is_none()
+        && target.tasks.range(key(0)..=key(u32::MAX)).next().is_none()
 }
