--- a/crates/core/src/awaits.rs
+++ b/crates/core/src/awaits.rs
@@ -42,11 +42,11 @@
         let (priority, due_ms) = (job.priority, job.due_ms);
         let mut lost = false;
         for dep in &awaits {
-            self.awaited.dependents.entry(dep.clone()).or_default().insert(name.clone());
+            self.dependencies.dependents.entry(dep.clone()).or_default().insert(name.clone());
             match self.jobs.get(dep) {
                 Some(dep) => lost |= dep.cancelled,
                 None => {
-                    self.awaited.unread.insert(dep.clone());
+                    self.dependencies.unread.insert(dep.clone());
                 }
             }
         }
@@ -77,7 +77,7 @@
         while let Some(name) = left.pop() {
             let Some(job) = self.jobs.get(&name).filter(|job| !job.cancelled) else { continue };
             let (mut priority, mut due_ms) = (job.spec.priority, job.own_due_ms());
-            let dependents = self.awaited.dependents.get(&name).into_iter().flatten();
+            let dependents = self.dependencies.dependents.get(&name).into_iter().flatten();
             for dependent in dependents.filter_map(|id| self.jobs.get(id)).filter(|job| !job.cancelled) {
                 priority = priority.max(dependent.priority);
                 due_ms = earlier(due_ms, dependent.due_ms);
@@ -94,7 +94,7 @@
 
     /// A job has ended durably: those that await it go on, or end with it.
     pub fn dependency_over(&mut self, env: &mut Env, dep: &Name, state: RecordState) {
-        let Some(dependents) = self.awaited.dependents.remove(dep) else {
+        let Some(dependents) = self.dependencies.dependents.remove(dep) else {
             return;
         };
         if state == RecordState::Cancelled {
@@ -107,7 +107,7 @@
             if !job.is_blocked() {
                 tracing::debug!(job = &*name, "all that it awaits is done");
                 job.from_ms = env.now.wall_ms;
-                self.place_due = true;
+                self.scheduling_due = true;
             }
         }
     }
@@ -122,8 +122,8 @@
             tracing::debug!(job = &*name, "a job that it needs was cancelled");
             job.orphaned = true;
             needed.extend(job.pending.iter().cloned());
-            self.stop_cancelled(env, &name);
-            left.extend(self.awaited.dependents.remove(&name).into_iter().flatten());
+            self.stop_cancelled_job(env, &name);
+            left.extend(self.dependencies.dependents.remove(&name).into_iter().flatten());
         }
         self.lower(needed);
     }
@@ -131,7 +131,7 @@
     /// A user cancelled a job: nothing of it starts any more, all that is there must go, and so must
     /// all that needs it.
     pub fn job_cancelled(&mut self, env: &mut Env, name: &Name) {
-        self.stop_cancelled(env, name);
+        self.stop_cancelled_job(env, name);
         let needed = self.jobs.get(name).map(|job| job.pending.clone()).unwrap_or_default();
         self.lower(needed);
         self.dependency_over(env, name, RecordState::Cancelled);
@@ -140,11 +140,11 @@
     /// A job is forgotten, and awaits nothing any more.
     pub fn unlink(&mut self, job: &Job) {
         for dep in &job.spec.awaits {
-            if let Some(dependents) = self.awaited.dependents.get_mut(dep.as_str()) {
+            if let Some(dependents) = self.dependencies.dependents.get_mut(dep.as_str()) {
                 dependents.remove(&job.id);
                 if dependents.is_empty() {
-                    self.awaited.dependents.remove(dep.as_str());
-                    self.awaited.unread.remove(dep.as_str());
+                    self.dependencies.dependents.remove(dep.as_str());
+                    self.dependencies.unread.remove(dep.as_str());
                 }
             }
         }
@@ -153,21 +153,21 @@
     /// Reads how awaited jobs ended that are not in the table.
     pub fn read_awaited(&mut self, env: &mut Env) {
         let now = env.steady();
-        if self.awaited.unread.is_empty() || self.awaited.retry.is_some_and(|from| from > now) {
+        if self.dependencies.unread.is_empty() || self.dependencies.retry.is_some_and(|from| from > now) {
             return;
         }
-        while self.awaited.reading.len() < READING {
-            let Some(dep) = self.awaited.unread.pop_first() else { return };
-            if self.awaited.reading.insert(dep.clone()) {
+        while self.dependencies.reading.len() < READING {
+            let Some(dep) = self.dependencies.unread.pop_first() else { return };
+            if self.dependencies.reading.insert(dep.clone()) {
                 let op = StoreOp::Get(job_key(&dep));
-                env.store(Purpose::Load(LoadCall::Awaited(dep)), Urgency::High, op);
+                env.call_store(Purpose::Load(LoadCall::Awaited(dep)), Urgency::High, op);
             }
         }
     }
 
-    pub fn awaited_read(&mut self, env: &mut Env, dep: Name, outcome: Outcome<StoreAnswer>) {
-        self.awaited.reading.remove(&dep);
-        if let Outcome::Answered(StoreAnswer::Item(Some(item))) = outcome
+    pub fn awaited_read(&mut self, env: &mut Env, dep: Name, outcome: Outcome<StoreResponse>) {
+        self.dependencies.reading.remove(&dep);
+        if let Outcome::Responded(StoreResponse::Item(Some(item))) = outcome
             && let Ok(record) = serde_json::from_value::<JobRecord>(item.value)
         {
             if record.state != RecordState::Open {
@@ -179,9 +179,9 @@
                 return;
             }
         }
-        if self.awaited.dependents.contains_key(&dep) {
-            self.awaited.unread.insert(dep);
-            self.awaited.retry = Some(env.steady() + RETRY);
+        if self.dependencies.dependents.contains_key(&dep) {
+            self.dependencies.unread.insert(dep);
+            self.dependencies.retry = Some(env.steady() + RETRY);
         }
     }
 }
--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -7,7 +7,7 @@
 use rushyoke_wire::cloud::Rental;
 use rushyoke_wire::job::JobSpec;
 
-use crate::io::{Answer, Req};
+use crate::io::{HttpResponse, RequestId};
 use crate::jobs::{Name, TaskKey};
 
 /// Why a call was made, so that its outcome finds its way.
@@ -104,7 +104,7 @@
     /// Reads a job's record for those who asked about it.
     Read {
         job: String,
-        requests: Vec<Req>,
+        requests: Vec<RequestId>,
     },
     /// Reads the record of a job that others need, for a group of lookups.
     Refresh {
@@ -119,16 +119,16 @@
     Create(Creation),
     /// Before a refusal: an accepted job is never refused.
     Refuse {
-        request: Req,
+        request: RequestId,
         job: String,
-        answer: Answer,
+        answer: HttpResponse,
     },
     CancelRead {
-        request: Req,
+        request: RequestId,
         job: String,
     },
     CancelWrite {
-        request: Req,
+        request: RequestId,
         job: String,
         tasks: u32,
     },
@@ -137,7 +137,7 @@
 /// A submission of which some dependencies are not yet known to have been accepted.
 #[derive(Clone, Debug)]
 pub(crate) struct Admission {
-    pub request: Req,
+    pub request: RequestId,
     pub spec: Box<JobSpec>,
     /// Dependencies whose records were seen to exist, and may not be in the cache.
     pub accepted: BTreeSet<String>,
@@ -146,7 +146,7 @@
 /// A job whose records are being created.
 #[derive(Clone, Debug)]
 pub(crate) struct Creation {
-    pub request: Req,
+    pub request: RequestId,
     pub job: String,
     pub tasks: u32,
     pub awaits: Arc<[String]>,
--- a/crates/core/src/election.rs
+++ b/crates/core/src/election.rs
@@ -3,7 +3,7 @@
 //!
 //! Guards against two leads acting at once: every write of a leader names the key's
 //! version, workers drop older tokens, and a leader that the store no longer confirms
-//! stops answering reports after a known time (`silence_allowance`).
+//! stops answering reports after a known time (`self_fencing_timeout`).
 
 pub(crate) mod state;
 
@@ -12,7 +12,7 @@
 use rushyoke_wire::store::{Event, Item, Txn};
 
 use crate::calls::{ElectionCall, Purpose};
-use crate::io::{Outcome, StoreAnswer, StoreOp, Urgency};
+use crate::io::{Outcome, StoreOp, StoreResponse, Urgency};
 use crate::node::{Node, REST};
 use state::{Holder, LEADER_KEY, Phase};
 
@@ -25,7 +25,7 @@
     pub(crate) fn election_lost(&mut self) {
         let now = self.env.steady();
         if let Some(Phase::Leading { lease, .. }) = self.election.phase {
-            self.env.store(Purpose::Election(ElectionCall::End), Urgency::Leadership, StoreOp::EndLease(lease));
+            self.env.call_store(Purpose::Election(ElectionCall::End), Urgency::Leadership, StoreOp::EndLease(lease));
         }
         self.election.holder = None;
         self.election.read_at(now + RETRY);
@@ -38,14 +38,14 @@
             Some(Phase::Unread { from }) if *from <= now => self.read_holder(),
             // One that hangs is not waited for: it alone would take most of the lease's life.
             Some(Phase::Leading { lease, touching, next_touch, .. })
-                if touching.map_or(*next_touch, |sent| sent + self.env.policy.lead_ttl / 3) <= now =>
+                if touching.map_or(*next_touch, |sent| sent + self.env.policy.leader_lease / 3) <= now =>
             {
                 *touching = Some(now);
                 let lease = *lease;
-                self.env.store(
+                self.env.call_store(
                     Purpose::Election(ElectionCall::Touch { sent: now }),
                     Urgency::Leadership,
-                    StoreOp::Touch(lease),
+                    StoreOp::RenewLease(lease),
                 );
             }
             _ => {}
@@ -55,7 +55,7 @@
     fn read_holder(&mut self) {
         self.election.phase = Some(Phase::Busy);
         let op = StoreOp::List { prefix: LEADER_KEY.into(), after: String::new() };
-        self.env.store(Purpose::Election(ElectionCall::Read), Urgency::Leadership, op);
+        self.env.call_store(Purpose::Election(ElectionCall::Read), Urgency::Leadership, op);
     }
 
     fn watch_holder(&mut self, after: u64) {
@@ -64,13 +64,13 @@
         }
         self.election.watching = true;
         let op = StoreOp::Watch { prefix: LEADER_KEY.into(), after, wait_ms: WATCH_MS };
-        self.env.store(Purpose::Election(ElectionCall::Watch), Urgency::Leadership, op);
+        self.env.call_store(Purpose::Election(ElectionCall::Watch), Urgency::Leadership, op);
     }
 
-    pub(crate) fn election_outcome(&mut self, call: ElectionCall, outcome: Outcome<StoreAnswer>) {
+    pub(crate) fn election_outcome(&mut self, call: ElectionCall, outcome: Outcome<StoreResponse>) {
         let now = self.env.steady();
         match (call, outcome) {
-            (ElectionCall::Read, Outcome::Answered(StoreAnswer::Page(page))) => {
+            (ElectionCall::Read, Outcome::Responded(StoreResponse::Page(page))) => {
                 self.watch_holder(page.revision);
                 if page.revision < self.election.seen {
                     self.election.read_at(now);
@@ -78,7 +78,7 @@
                     self.holder_found(page.rows.into_iter().find(|row| row.key == LEADER_KEY));
                 }
             }
-            (ElectionCall::Watch, Outcome::Answered(StoreAnswer::Changes(changes))) => {
+            (ElectionCall::Watch, Outcome::Responded(StoreResponse::Changes(changes))) => {
                 self.election.watching = false;
                 self.watch_holder(changes.revision);
                 self.election.seen = self.election.seen.max(changes.revision);
@@ -95,24 +95,24 @@
                     self.election.read_at(now + RETRY);
                 }
             }
-            (ElectionCall::DropOwn, Outcome::Answered(StoreAnswer::Committed(_))) => self.compete(),
-            (ElectionCall::Lease { sent }, Outcome::Answered(StoreAnswer::Lease(lease))) => {
+            (ElectionCall::DropOwn, Outcome::Responded(StoreResponse::Committed(_))) => self.compete(),
+            (ElectionCall::Lease { sent }, Outcome::Responded(StoreResponse::Lease(lease))) => {
                 let value = serde_json::to_value(&self.election.me).expect("holders always encode");
                 let txn = Txn::default().when(LEADER_KEY, 0).put_leased(LEADER_KEY, value, lease);
-                self.env.store(
+                self.env.call_store(
                     Purpose::Election(ElectionCall::Claim { lease, sent }),
                     Urgency::Leadership,
                     StoreOp::Txn(txn),
                 );
             }
-            (ElectionCall::Claim { lease, sent }, Outcome::Answered(StoreAnswer::Committed(token))) => {
+            (ElectionCall::Claim { lease, sent }, Outcome::Responded(StoreResponse::Committed(token))) => {
                 self.election.holder = Some(Holder { record: self.election.me.clone(), version: token });
-                let next_touch = now + self.env.policy.lead_ttl / 3;
+                let next_touch = now + self.env.policy.leader_lease / 3;
                 self.election.phase = Some(Phase::Leading { lease, confirmed: sent, touching: None, next_touch });
                 self.begin_term(token);
             }
-            (ElectionCall::Claim { lease, .. }, Outcome::Answered(_)) => {
-                self.env.store(Purpose::Election(ElectionCall::End), Urgency::Low, StoreOp::EndLease(lease));
+            (ElectionCall::Claim { lease, .. }, Outcome::Responded(_)) => {
+                self.env.call_store(Purpose::Election(ElectionCall::End), Urgency::Low, StoreOp::EndLease(lease));
                 self.election.read_at(now);
             }
             (ElectionCall::Touch { sent }, outcome) => self.touched(sent, outcome),
@@ -131,9 +131,9 @@
         }
     }
 
-    fn touched(&mut self, sent: Instant, outcome: Outcome<StoreAnswer>) {
+    fn touched(&mut self, sent: Instant, outcome: Outcome<StoreResponse>) {
         let now = self.env.steady();
-        let ttl = self.env.policy.lead_ttl;
+        let ttl = self.env.policy.leader_lease;
         let Some(Phase::Leading { confirmed, touching, next_touch, .. }) = &mut self.election.phase else {
             return;
         };
@@ -142,7 +142,7 @@
             *touching = None;
         }
         match outcome {
-            Outcome::Answered(StoreAnswer::LeaseLives) => {
+            Outcome::Responded(StoreResponse::LeaseOk) => {
                 *confirmed = sent.max(*confirmed);
                 *next_touch = sent + ttl / 3;
                 if let Some(term) = &mut self.term
@@ -152,7 +152,7 @@
                     self.election.rest(now, REST);
                 }
             }
-            Outcome::Answered(StoreAnswer::NoSuchLease) => self.step_down("the lease has ended"),
+            Outcome::Responded(StoreResponse::NoSuchLease) => self.step_down("the lease has ended"),
             _ if newest => *next_touch = now + RETRY,
             _ => {}
         }
@@ -200,7 +200,7 @@
                 tracing::info!(version = holder.version, "dropping the leader key of an earlier incarnation");
                 let txn = Txn::default().when(LEADER_KEY, holder.version).delete(LEADER_KEY);
                 self.election.phase = Some(Phase::Busy);
-                self.env.store(Purpose::Election(ElectionCall::DropOwn), Urgency::Leadership, StoreOp::Txn(txn));
+                self.env.call_store(Purpose::Election(ElectionCall::DropOwn), Urgency::Leadership, StoreOp::Txn(txn));
             }
             Some(holder) => {
                 tracing::debug!(leader = holder.record.label, "following");
@@ -216,9 +216,9 @@
             return;
         }
         self.election.phase = Some(Phase::Busy);
-        let ttl_ms = self.env.policy.lead_ttl.as_millis() as u64;
+        let ttl_ms = self.env.policy.leader_lease.as_millis() as u64;
         let sent = self.env.steady();
-        self.env.store(
+        self.env.call_store(
             Purpose::Election(ElectionCall::Lease { sent }),
             Urgency::Leadership,
             StoreOp::NewLease { ttl_ms },
--- a/crates/core/src/election/state.rs
+++ b/crates/core/src/election/state.rs
@@ -71,7 +71,7 @@
     /// Whether a leader may still answer reports.
     pub fn entitled(&self, now: Instant, facts: &Facts) -> bool {
         match &self.phase {
-            Some(Phase::Leading { confirmed, .. }) => now.duration_since(*confirmed) <= facts.silence_allowance(),
+            Some(Phase::Leading { confirmed, .. }) => now.duration_since(*confirmed) <= facts.self_fencing_timeout(),
             _ => false,
         }
     }
--- a/crates/core/src/env.rs
+++ b/crates/core/src/env.rs
@@ -27,9 +27,9 @@
     pub facts: Arc<Facts>,
     pub policy: Arc<Policy>,
     pub rng: StdRng,
-    pub types: Arc<Vec<MachineType>>,
-    pub out: Vec<Output>,
-    pub calls: HashMap<Call, Purpose>,
+    pub machine_types: Arc<Vec<MachineType>>,
+    pub outputs: Vec<Output>,
+    pub calls: HashMap<CallId, Purpose>,
     pub next_call: u64,
 }
 
@@ -38,38 +38,38 @@
         self.now.steady
     }
 
-    fn call(&mut self, purpose: Purpose) -> Call {
+    fn call(&mut self, purpose: Purpose) -> CallId {
         self.next_call += 1;
-        let call = Call(self.next_call);
+        let call = CallId(self.next_call);
         self.calls.insert(call, purpose);
         call
     }
 
-    pub fn store(&mut self, purpose: Purpose, urgency: Urgency, op: StoreOp) {
+    pub fn call_store(&mut self, purpose: Purpose, urgency: Urgency, op: StoreOp) {
         let call = self.call(purpose);
-        self.out.push(Output::Store { call, op, urgency });
+        self.outputs.push(Output::Store { call, op, urgency });
     }
 
-    pub fn cloud(&mut self, purpose: Purpose, op: CloudOp) {
+    pub fn call_cloud(&mut self, purpose: Purpose, op: CloudOp) {
         let call = self.call(purpose);
-        self.out.push(Output::Cloud { call, op });
+        self.outputs.push(Output::Cloud { call, op });
     }
 
-    pub fn order(&mut self, machine: Name, addr: String, orders: rushyoke_wire::worker::Orders, probe: bool) {
+    pub fn call_worker(&mut self, machine: Name, addr: String, orders: rushyoke_wire::worker::Orders, probe: bool) {
         let call = self.call(Purpose::Order { machine });
-        self.out.push(Output::Order { call, addr, orders, probe });
+        self.outputs.push(Output::Order { call, addr, orders, probe });
     }
 
-    pub fn relay(&mut self, label: String, relay: rushyoke_wire::peer::Relay) {
+    pub fn relay_reports(&mut self, label: String, relay: rushyoke_wire::peer::Relay) {
         let call = self.call(Purpose::Relay);
-        self.out.push(Output::Relay { call, label, relay });
+        self.outputs.push(Output::Relay { call, label, relay });
     }
 
-    pub fn answer(&mut self, req: Req, answer: Answer) {
-        self.out.push(Output::Answer { req, answer });
+    pub fn respond(&mut self, request_id: RequestId, response: HttpResponse) {
+        self.outputs.push(Output::Response { request_id, response });
     }
 
-    pub fn type_named(&self, name: &str) -> Option<&MachineType> {
-        self.types.iter().find(|t| t.name == name)
+    pub fn machine_type(&self, name: &str) -> Option<&MachineType> {
+        self.machine_types.iter().find(|t| t.name == name)
     }
 }
--- a/crates/core/src/facts.rs
+++ b/crates/core/src/facts.rs
@@ -27,7 +27,7 @@
     /// The class of jobs, if not all.
     pub class: Option<String>,
     /// The time allowed.
-    pub within: Option<Duration>,
+    pub time_limit: Option<Duration>,
 }
 
 /// The platform's facts; nothing here is a constant of ours.
@@ -36,19 +36,19 @@
     /// This node's label.
     pub label: String,
     /// The other nodes' labels.
-    pub others: Vec<String>,
+    pub peers: Vec<String>,
     /// Zones of the nodes by their labels, as far as the platform tells.
-    pub locations: BTreeMap<String, String>,
+    pub controller_zones: BTreeMap<String, String>,
     /// Teams by name.
     pub teams: BTreeMap<String, Team>,
     /// The users' aims.
     pub objectives: Vec<Objective>,
     /// Interval of workers' reports.
-    pub report: Duration,
+    pub report_interval: Duration,
     /// Life of a worker's lease.
-    pub lease: Duration,
+    pub worker_lease: Duration,
     /// Time within which a cancelled job must be gone.
-    pub cancel: Duration,
+    pub cancel_limit: Duration,
     /// Writes in one transaction.
     pub txn_ops: usize,
     /// Bytes of one value.
@@ -56,22 +56,22 @@
     /// Puts and deletes that the store takes a second.
     pub write_rps: f64,
     /// How late the cloud's list may be.
-    pub list_lag: Duration,
+    pub cloud_list_lag: Duration,
     /// Calls that the cloud takes a second.
     pub cloud_rps: f64,
     /// Direct calls to workers at a time, as far as the sockets go.
-    pub orders_at_once: usize,
+    pub max_direct_calls: usize,
     /// Memory that unfinished jobs may take.
-    pub job_bytes: usize,
+    pub max_job_bytes: usize,
 }
 
 impl Facts {
     /// How long a leader goes on answering reports after the older of two moments: the last confirmed
     /// renewal of its lease, and the last up to which it surely knows all cancellations. One
     /// that was told elsewhere must still be over in time once it falls silent.
-    pub(crate) fn silence_allowance(&self) -> Duration {
-        let margin = Duration::from_secs(2) + self.cancel / 100;
-        self.cancel.saturating_sub(self.lease).saturating_sub(margin)
+    pub(crate) fn self_fencing_timeout(&self) -> Duration {
+        let margin = Duration::from_secs(2) + self.cancel_limit / 100;
+        self.cancel_limit.saturating_sub(self.worker_lease).saturating_sub(margin)
     }
 }
 
@@ -83,13 +83,13 @@
     /// Straggler value per running task above which a machine is a straggler.
     pub straggler_threshold: f64,
     /// Finished tasks that a cell of the statistics needs.
-    pub cell_minimum: u32,
+    pub min_cell_tasks: u32,
     /// Levels that the clustering may form.
-    pub levels: usize,
+    pub max_levels: usize,
     /// Whether the eSplash step restarts tasks.
     pub speculation: bool,
     /// Life of the leader's lease in the state service.
-    pub lead_ttl: Duration,
+    pub leader_lease: Duration,
     /// Free capacity kept ready, as a share of what is in use.
     pub headroom_share: f64,
     /// Least free capacity kept ready, in machines of the largest type.
@@ -98,19 +98,19 @@
     pub service_reserve: f64,
     /// Share of the users' time for work within a guarantee that passes before other
     /// work is stopped for it.
-    pub patience_share: f64,
+    pub preemption_delay_share: f64,
     /// How long a job may wait with none of its tasks placed before it is served out of turn.
-    pub starved: Duration,
+    pub starvation_timeout: Duration,
     /// How long a machine stays idle before it is returned.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Report intervals without a sign of life after which a machine is given up.
-    pub silent_reports: f64,
+    pub missed_report_limit: f64,
     /// Unfinished jobs that are held at the most; more are turned away.
     pub max_jobs: usize,
     /// Jobs whose state a node remembers for quick answers.
-    pub known_jobs: usize,
+    pub job_cache_size: usize,
     /// Machines looked at for one placement when many are known.
-    pub sample: usize,
+    pub placement_sample: usize,
     /// Load spreading; off if there is none.
     pub balance: Option<BalanceSettings>,
     /// Zone failover; off if there is none.
@@ -122,20 +122,20 @@
         Policy {
             speculation_period: Duration::from_secs(5),
             straggler_threshold: 3.0,
-            cell_minimum: 5,
-            levels: 4,
+            min_cell_tasks: 5,
+            max_levels: 4,
             speculation: true,
-            lead_ttl: Duration::from_millis(2000),
+            leader_lease: Duration::from_millis(2000),
             headroom_share: 0.1,
             headroom_machines: 1.0,
             service_reserve: 1.0,
-            patience_share: 0.4,
-            starved: Duration::from_secs(90),
-            idle: Duration::from_secs(12),
-            silent_reports: 2.5,
+            preemption_delay_share: 0.4,
+            starvation_timeout: Duration::from_secs(90),
+            idle_timeout: Duration::from_secs(12),
+            missed_report_limit: 2.5,
             max_jobs: 100_000,
-            known_jobs: 20_000,
-            sample: 32,
+            job_cache_size: 20_000,
+            placement_sample: 32,
             balance: None,
             failover: None,
         }
--- a/crates/core/src/failover.rs
+++ b/crates/core/src/failover.rs
@@ -60,9 +60,9 @@
             zones,
             sampled_cut: self.survey.sampled_cut().clone(),
             answering: self.controllers.zones.clone(),
-            controllers: self.controllers.others,
-            controllers_answering: self.controllers.answering,
-            gave_way: self.controllers.gave_way,
+            controllers: self.controllers.total,
+            controllers_answering: self.controllers.responding,
+            gave_way: self.controllers.recently_stepped_down,
             settling,
         };
         let observation = failover.observe(now, &fleet);
@@ -70,7 +70,7 @@
             tracing::info!("most machines and all other controllers are out of reach: likely this node is cut off");
         }
         self.in_minority = observation.minority;
-        self.place_due |= !observation.transitions.is_empty();
+        self.scheduling_due |= !observation.transitions.is_empty();
         for transition in &observation.transitions {
             log_transition(failover, now, transition);
         }
@@ -129,7 +129,7 @@
     /// A job's tier; the lower goes first.
     pub fn tier_of(&self, job: &Job) -> usize {
         let Some(failover) = &self.failover else { return 0 };
-        let guaranteed = self.guaranteed.contains(&job.id);
+        let guaranteed = self.jobs_within_quota.contains(&job.id);
         failover.settings().tier_of(&TierQuery { class: &job.spec.class, priority: job.priority, guaranteed })
     }
 
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -78,7 +78,7 @@
 impl Term {
     pub fn types_changed(&mut self, env: &Env) {
         for machine in self.machines.values_mut() {
-            let kind = env.type_named(&machine.kind);
+            let kind = env.machine_type(&machine.kind);
             machine.set_type(kind);
         }
     }
@@ -99,7 +99,7 @@
         }
         self.destination_gone(name);
         self.renting.gone(name, GONE_KEPT.max(GONE_PER_MACHINE * self.machines.len()));
-        self.place_due = true;
+        self.scheduling_due = true;
     }
 
     /// The cloud's list names this machine.
@@ -127,7 +127,7 @@
             machine.zone = listed.zone.clone();
             self.zones.insert(listed.zone.clone());
             machine.spot = listed.spot;
-            machine.set_type(env.type_named(&listed.kind));
+            machine.set_type(env.machine_type(&listed.kind));
         }
         if machine.addr.is_empty() {
             machine.addr = listed.addr.clone();
--- a/crates/core/src/fleet/orders.rs
+++ b/crates/core/src/fleet/orders.rs
@@ -28,7 +28,7 @@
     /// The outcome of direct orders.
     pub fn ordered(&mut self, env: &mut Env, name: &Name, outcome: Outcome<(u16, Report)>) {
         let now = env.steady();
-        self.directs -= 1;
+        self.direct_calls_in_flight -= 1;
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
@@ -36,13 +36,13 @@
             return;
         };
         let fate = match &outcome {
-            Outcome::Answered((200, _)) => StopEvent::Done,
-            Outcome::Answered(_) => StopEvent::Refused,
+            Outcome::Responded((200, _)) => StopEvent::Done,
+            Outcome::Responded(_) => StopEvent::Refused,
             _ => StopEvent::Lost,
         };
         self.stops.note(fate, direct.cancelled_stops);
         match outcome {
-            Outcome::Answered((status, report)) if report.machine == **name => {
+            Outcome::Responded((status, report)) if report.machine == **name => {
                 if status == 409 {
                     // Nothing of it was executed, nor will be.
                     let session = report.session;
@@ -74,7 +74,7 @@
             outcome => {
                 machine.call_failed(now, DIRECT_RETRY, MOST_BACKOFF);
                 // Unless it was surely not carried out, what it started may run yet.
-                if !matches!(outcome, Outcome::NotDone) && machine.session == direct.session {
+                if !matches!(outcome, Outcome::NotExecuted) && machine.session == direct.session {
                     machine.unresolved.extend(direct.starts);
                 }
             }
@@ -114,7 +114,7 @@
         let unexpected = machine.unexpected.iter().filter(|(attempt, exited)| *exited && resolved(attempt));
         let unexpected = unexpected.map(|(attempt, _)| forget(attempt));
         orders.extend(unexpected.take(MAX_ORDERS.saturating_sub(orders.len())));
-        let durable = |(attempt, key): &(&Attempt, &TaskKey)| resolved(attempt) && self.records.durable(key);
+        let durable = |(attempt, key): &(&Attempt, &TaskKey)| resolved(attempt) && self.records.is_durable(key);
         let exited = machine.exited.iter().filter(durable).map(|(attempt, _)| forget(attempt));
         orders.extend(exited.take(MAX_ORDERS.saturating_sub(orders.len())));
     }
@@ -122,7 +122,7 @@
     /// A machine has orders, or must be shown the token, before its next report.
     pub fn call_soon(&mut self, name: &Name) {
         if let Some(machine) = self.machines.get(name) {
-            self.to_call.insert((machine.call_reason(), name.clone()));
+            self.machines_to_call.insert((machine.call_reason(), name.clone()));
         }
     }
 
@@ -130,8 +130,8 @@
     /// services first, as many at a time as there are sockets for.
     pub fn make_calls(&mut self, env: &mut Env) {
         let now = env.steady();
-        while self.free_calls(env) > 0 {
-            let Some((_, name)) = self.to_call.pop_first() else {
+        while self.available_direct_calls(env) > 0 {
+            let Some((_, name)) = self.machines_to_call.pop_first() else {
                 return;
             };
             let Some(machine) = self.machines.get_mut(&name) else {
@@ -154,7 +154,7 @@
     }
 
     pub(super) fn direct(&mut self, env: &mut Env, name: &Name, orders: Vec<Order>) {
-        self.call_begun();
+        self.direct_call_started();
         let cancelled_stops = self.cancelled_stops(&orders);
         self.stops.note(StopEvent::Called, cancelled_stops);
         let machine = self.machines.get_mut(name).expect("known");
@@ -171,7 +171,7 @@
         tracing::debug!(machine = &**name, token = self.token, session, orders = orders.len(), cancelled_stops, "call");
         machine.direct = Some(DirectCall { session, seen, starts, stops, cancelled_stops });
         let body = Orders { token: self.token, session: Some(session), orders };
-        env.order(name.clone(), machine.addr.clone(), body, probe);
+        env.call_worker(name.clone(), machine.addr.clone(), body, probe);
     }
 }
 
--- a/crates/core/src/fleet/reports.rs
+++ b/crates/core/src/fleet/reports.rs
@@ -18,15 +18,15 @@
 
 impl Term {
     /// A worker's report that this leader answers; `None` if its tasks must be told.
-    pub fn report(&mut self, env: &mut Env, report: Report, tasks: Tasks) -> Option<Answer> {
+    pub fn report(&mut self, env: &mut Env, report: Report, tasks: Tasks) -> Option<HttpResponse> {
         let now = env.steady();
         let name = Name::from(report.machine.as_str());
         let lapsed = self.machines.get(&name).is_some_and(|m| m.lapsed.is_some_and(|s| report.session <= s));
         if lapsed || self.renting.is_gone(&name) {
             // Its tasks were given up; an answer would keep them alive.
-            return Some(Answer::later(503, "the lease of this session has ended"));
+            return Some(HttpResponse::later(503, "the lease of this session has ended"));
         }
-        let free = self.free_calls(env) > 0;
+        let free = self.available_direct_calls(env) > 0;
         if let Some(machine) = self.machines.get_mut(&name)
             && (report.session, report.seq) <= machine.report_seen
         {
@@ -36,7 +36,7 @@
                 machine.direct_from = Some(now + COPY_PROBE);
                 self.probe(env, &name);
             }
-            return Some(Answer::later(503, "an older report"));
+            return Some(HttpResponse::later(503, "an older report"));
         }
         let seen = (report.session, report.seq);
         let message = if self.ready() {
@@ -45,7 +45,7 @@
                 Ok(false) => return None,
                 Err(error) => {
                     tracing::error!(machine = &*name, %error, "malformed report");
-                    return Some(Answer::error(400, "loads: malformed"));
+                    return Some(HttpResponse::error(400, "loads: malformed"));
                 }
             }
         } else {
@@ -53,10 +53,10 @@
         };
         if message.stops_left {
             self.call_soon(&name);
-            return Some(Answer::later(503, "its stops do not fit into an answer"));
+            return Some(HttpResponse::later(503, "its stops do not fit into an answer"));
         }
         self.note_answer(now, &name, seen, &message.orders);
-        Some(Answer::json(200, &Orders { token: self.token, session: None, orders: message.orders }))
+        Some(HttpResponse::json(200, &Orders { token: self.token, session: None, orders: message.orders }))
     }
 
     /// A report is answered, which renews the worker's lease.
@@ -68,7 +68,7 @@
         self.stops.note(StopEvent::Told, cancelled_stops);
         let ready = self.ready();
         if !ready {
-            self.unnoted = Some(now);
+            self.last_response_before_load = Some(now);
         }
         let Some(machine) = self.machines.get_mut(name) else {
             return;
@@ -132,7 +132,7 @@
             && (machine.addr == report.addr || matches!(tasks, Tasks::Digest(_)))
         {
             machine.seq = report.seq;
-            machine.alive(env.steady(), Via::Report, env.facts.report);
+            machine.alive(env.steady(), Via::Report, env.facts.report_interval);
             return Ok(true);
         }
         match tasks {
@@ -160,14 +160,14 @@
         }
         machine.digest = None;
         if !machine.up || machine.kind != report.kind {
-            machine.came_up(now, report, env.type_named(&report.kind));
+            machine.came_up(now, report, env.machine_type(&report.kind));
             self.zones.insert(report.zone.clone());
-            self.place_due = true;
+            self.scheduling_due = true;
         }
         machine.addr = report.addr.clone();
-        machine.alive(now, via, env.facts.report);
+        machine.alive(now, via, env.facts.report_interval);
         let new_session = report.session > machine.session && machine.session > 0;
-        let renewed = machine.answered.is_some_and(|t| now.duration_since(t) < env.facts.lease.mul_f64(RENEWED));
+        let renewed = machine.answered.is_some_and(|t| now.duration_since(t) < env.facts.worker_lease.mul_f64(RENEWED));
         if new_session && renewed && via == Via::Report && machine.fenced.is_some() && !machine.answers_lost {
             // Its lease ended although it was answered: the answers do not reach it. It gets
             // no work and is returned; its tasks move once that is confirmed, or by its session.
@@ -199,8 +199,8 @@
         let cancelled = self.cancelled_among(&report.tasks).into_iter();
         let unexpected = cancelled.map(|attempt| (attempt, false)).collect();
         self.machines.get_mut(name).expect("reported").unexpected = unexpected;
-        let since = env.steady().duration_since(self.since);
-        let later = via == Via::Report && since < fence_by_report(env.facts.report);
+        let since = env.steady().duration_since(self.started_at);
+        let later = via == Via::Report && since < fence_by_report(env.facts.report_interval);
         if !later || self.machines[name].hosts_service() {
             self.call_soon(name);
         }
--- a/crates/core/src/fleet/silence.rs
+++ b/crates/core/src/fleet/silence.rs
@@ -69,7 +69,7 @@
         for name in std::mem::take(&mut findings.lapsed) {
             self.lease_lapsed(env, &name);
         }
-        let alone = now.duration_since(self.visited) > overdue_after(env) + PROBE;
+        let alone = now.duration_since(self.last_direct_report) > overdue_after(env) + PROBE;
         self.judge_own_reach(env, &mut findings, alone);
         // Most silent at once: more likely the network, or this node, than the machines.
         // Returning them would kill what still runs.
@@ -81,7 +81,7 @@
             false => usize::from(alone && findings.call_failed) * ASKED_ALONE,
         };
         self.survey(env, asked, findings.quiet, findings.all);
-        let settling = now.duration_since(self.since) < fence_by_report(env.facts.report) + PROBE * 2;
+        let settling = now.duration_since(self.started_at) < fence_by_report(env.facts.report_interval) + PROBE * 2;
         self.judge_zones(env, std::mem::take(&mut findings.zones), settling);
         if !spared {
             findings.silent.iter().for_each(|name| self.give_up(env, name));
@@ -93,11 +93,11 @@
     fn look_for_silence(&mut self, env: &Env) -> Findings {
         let now = env.steady();
         let late = overdue_after(env);
-        let give_up = env.facts.report.mul_f64(env.policy.silent_reports);
-        let fence_all = now.duration_since(self.since) >= fence_by_report(env.facts.report);
+        let give_up = env.facts.report_interval.mul_f64(env.policy.missed_report_limit);
+        let fence_all = now.duration_since(self.started_at) >= fence_by_report(env.facts.report_interval);
         let leases = self.lease_bounds(env);
         let judged = self.failover.is_some();
-        let find_after = SETTLING * env.facts.others.len() as u32;
+        let find_after = SETTLING * env.facts.peers.len() as u32;
         let mut findings = Findings::default();
         for machine in self.machines.values_mut().filter(|m| m.up) {
             findings.up += 1;
@@ -132,14 +132,14 @@
                 machine.direct_from = None;
                 tracing::debug!(machine = &*machine.name, "its report is overdue");
             }
-            if now > leases.end(machine) && quiet > env.facts.lease && !machine.places.is_empty() {
+            if now > leases.end(machine) && quiet > env.facts.worker_lease && !machine.places.is_empty() {
                 findings.lapsed.push(machine.name.clone());
             }
             if is_silent(machine, quiet, late, give_up) {
                 findings.silent.push(machine.name.clone());
             }
             if judged && machine.release_sent.is_none() {
-                let in_time = machine.reports_to_us(now, env.facts.report) && !machine.suspect;
+                let in_time = machine.reports_to_us(now, env.facts.report_interval) && !machine.suspect;
                 note_machine(findings.zones.entry(machine.zone.clone()).or_default(), machine, quiet > late, in_time);
             }
         }
@@ -149,13 +149,13 @@
     /// A leader that the workers cannot reach keeps them from one that they could, until
     /// their leases end. After a takeover they take a while to find it.
     fn judge_own_reach(&mut self, env: &Env, findings: &mut Findings, alone: bool) {
-        let since = env.steady().duration_since(self.since);
-        let settled = since > SETTLING * env.facts.others.len() as u32 + overdue_after(env);
+        let since = env.steady().duration_since(self.started_at);
+        let settled = since > SETTLING * env.facts.peers.len() as u32 + overdue_after(env);
         let unreporting = std::mem::take(&mut findings.unreporting);
         // Reports that other nodes hand on arrive all the same, but no call of ours does.
         let calls_lost = alone && self.survey.most && !findings.most(findings.unheard);
         let most_unreporting = findings.most(unreporting.len());
-        self.cut_off = findings.most(findings.unreached)
+        self.partitioned = findings.most(findings.unreached)
             || calls_lost
             || most_unreporting && (findings.most(findings.unheard) || settled);
         // Reports of most machines missing, or just after a takeover: they look for this node.
@@ -170,7 +170,7 @@
             }
         }
         // While reports are refused no machine is heard, and their leases will end: no work for them, and no line.
-        if !found.is_empty() && !self.refuses_reports {
+        if !found.is_empty() && !self.refusing_reports {
             let first = first_names(&found);
             tracing::info!(machines = found.len(), first, "answer calls, but do not report; get no work");
         }
@@ -203,7 +203,7 @@
             .filter(|m| m.direct_from.is_none_or(|t| t <= now));
         let mut probes: Vec<(CallReason, &Name)> = suspects.map(|m| (m.call_reason(), &m.name)).collect();
         probes.sort_unstable();
-        probes.truncate(self.free_calls(env));
+        probes.truncate(self.available_direct_calls(env));
         let probes: Vec<Name> = probes.into_iter().map(|(_, name)| name.clone()).collect();
         for name in probes {
             self.probe(env, &name);
@@ -232,13 +232,17 @@
 
     /// What bounds the leases of all workers now.
     pub(super) fn lease_bounds(&self, env: &Env) -> LeaseBounds {
-        LeaseBounds { old_silent: self.old_silent, unnoted: self.unnoted, lease: env.facts.lease }
+        LeaseBounds {
+            old_silent: self.predecessors_inactive_at,
+            unnoted: self.last_response_before_load,
+            lease: env.facts.worker_lease,
+        }
     }
 }
 
 /// How long after the last report the next one is overdue.
 fn overdue_after(env: &Env) -> Duration {
-    env.facts.report.mul_f64(LATEST_REPORT) + REPORT_SLACK
+    env.facts.report_interval.mul_f64(LATEST_REPORT) + REPORT_SLACK
 }
 
 /// Whether a machine has been quiet for so long, with failed calls, that it may be given up.
--- a/crates/core/src/fleet/survey.rs
+++ b/crates/core/src/fleet/survey.rs
@@ -46,7 +46,7 @@
         if due {
             let free = |m: &&Machine| m.up && !m.leaving && !m.unproven && m.direct.is_none() && !m.addr.is_empty();
             let others: Vec<Name> = self.machines.values().filter(free).map(|m| m.name.clone()).collect();
-            let most = ask.min(self.free_calls(env));
+            let most = ask.min(self.available_direct_calls(env));
             let sample: Vec<Name> = others.into_iter().sample(&mut env.rng, most);
             sample.iter().for_each(|name| self.probe(env, name));
             (self.survey.asked, self.survey.sample) = (Some(now), sample);
@@ -101,10 +101,10 @@
     /// cut off with it may go on answering it; one that is known to be silent fell before its
     /// key did.
     pub(super) fn spared_until(&self, env: &Env, machine: &Machine) -> Instant {
-        let lease = env.facts.lease;
+        let lease = env.facts.worker_lease;
         match machine.fenced {
             Some(_) => machine.heard + lease,
-            None if self.old_known => self.since + lease.saturating_sub(env.policy.lead_ttl),
+            None if self.predecessors_known_inactive => self.started_at + lease.saturating_sub(env.policy.leader_lease),
             None => self.lease_bounds(env).end(machine),
         }
     }
@@ -114,7 +114,7 @@
     /// silent it may be this node's network. Each mistake would be a hundred machines.
     pub fn fleet_unclear(&self, env: &Env) -> bool {
         let asking = self.survey.asked.is_some_and(|at| env.steady().duration_since(at) < SURVEY_ANSWERED);
-        (self.inherited && !self.renting.listed) || self.survey.most || asking
+        (self.machines_inherited && !self.renting.listed) || self.survey.most || asking
     }
 
     /// Whether many machines are silent or a sample is asked: no time to move work.
--- a/crates/core/src/fleet/tasks.rs
+++ b/crates/core/src/fleet/tasks.rs
@@ -75,7 +75,7 @@
         self.place_empty(env, key, again);
         let machine = self.machines.get_mut(&place.machine).expect("placed");
         machine.exited.insert((format!("{}/{}", key.0, key.1), place.attempt), key.clone());
-        self.after_change(&key.0);
+        self.close_if_over(&key.0);
     }
 
     fn succeeded(&mut self, job: &Name, place: &Place) {
@@ -147,11 +147,11 @@
         if let Some(machine) = self.machines.get_mut(&place.machine) {
             machine.release(key, &job.spec, now);
         }
-        self.records.changed(key.clone(), None);
+        self.records.mark_changed(key.clone(), None);
         self.task_left(now, key, again > now);
-        self.place_due = true;
+        self.scheduling_due = true;
         self.note_progress(&key.0);
-        self.after_change(&key.0);
+        self.close_if_over(&key.0);
     }
 
     /// Orders a task to leave its machine. One that was never ordered just stays away.
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -11,19 +11,19 @@
 
 /// Names a request that waits for an answer of ours.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Req(pub u64);
+pub struct RequestId(pub u64);
 
 /// Names a call of ours that waits for an outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Call(pub u64);
+pub struct CallId(pub u64);
 
 /// What became of a call.
 #[derive(Clone, Debug)]
 pub enum Outcome<T> {
     /// It was answered.
-    Answered(T),
+    Responded(T),
     /// It was surely not carried out and never will be.
-    NotDone,
+    NotExecuted,
     /// It may have been carried out, or may be yet.
     Unknown,
 }
@@ -61,7 +61,7 @@
         ttl_ms: u64,
     },
     /// Renews a lease.
-    Touch(u64),
+    RenewLease(u64),
     /// Ends a lease.
     EndLease(u64),
     /// Waits for a change.
@@ -77,7 +77,7 @@
 
 /// What the state service answers.
 #[derive(Clone, Debug)]
-pub enum StoreAnswer {
+pub enum StoreResponse {
     /// A key, if it exists.
     Item(Option<Item>),
     /// Keys in order.
@@ -85,21 +85,21 @@
     /// The revision of a transaction that was carried out.
     Committed(u64),
     /// Keys whose conditions did not hold; it may not name all.
-    Refused(Vec<String>),
+    ConditionsFailed(Vec<String>),
     /// A new lease.
     Lease(u64),
     /// The lease was renewed or ended.
-    LeaseLives,
+    LeaseOk,
     /// The lease has ended.
     NoSuchLease,
     /// Changes that a watch saw, or none in its time.
     Changes(Changes),
     /// The watch asked for changes that are no longer kept.
-    TooOld,
+    Compacted,
     /// 503: not carried out.
     Unavailable,
     /// 429: beyond a limit, not carried out.
-    Limited,
+    RateLimited,
 }
 
 /// A call to the cloud.
@@ -120,7 +120,7 @@
 
 /// What the cloud answers.
 #[derive(Clone, Debug)]
-pub enum CloudAnswer {
+pub enum CloudResponse {
     /// The types of machines.
     Types(Vec<MachineType>),
     /// Names of rented machines.
@@ -141,77 +141,77 @@
     /// A user submits a job.
     Submit {
         /// The request to answer.
-        req: Req,
+        request_id: RequestId,
         /// The job.
         spec: Box<JobSpec>,
     },
     /// A user asks about a job.
     Status {
         /// The request to answer.
-        req: Req,
+        request_id: RequestId,
         /// The job's id.
         id: String,
     },
     /// A user cancels a job.
     Cancel {
         /// The request to answer.
-        req: Req,
+        request_id: RequestId,
         /// The job's id.
         id: String,
     },
     /// A health check.
     Ready {
         /// The request to answer.
-        req: Req,
+        request_id: RequestId,
     },
     /// A worker reports.
     Report {
         /// The request to answer.
-        req: Req,
+        request_id: RequestId,
         /// The report.
         report: Box<Report>,
         /// The report's tasks if they were not read yet.
-        unread: Option<Box<RawValue>>,
+        unparsed_tasks: Option<Box<RawValue>>,
     },
     /// Another node asks and tells.
     Peer {
         /// The request to answer.
-        req: Req,
+        request_id: RequestId,
         /// The message.
         request: PeerRequest,
     },
     /// Reports that another node hands on.
     Relay {
         /// The request to answer.
-        req: Req,
+        request_id: RequestId,
         /// The reports.
         relay: Relay,
     },
     /// The leader answered reports that were handed on.
     RelayResponse {
         /// The call.
-        call: Call,
+        call: CallId,
         /// What became of it.
         outcome: Outcome<RelayResponse>,
     },
     /// A call to the state service has an outcome.
     Store {
         /// The call.
-        call: Call,
+        call: CallId,
         /// What became of it.
-        outcome: Outcome<StoreAnswer>,
+        outcome: Outcome<StoreResponse>,
     },
     /// A call to the cloud has an outcome.
     Cloud {
         /// The call.
-        call: Call,
+        call: CallId,
         /// What became of it.
-        outcome: Outcome<CloudAnswer>,
+        outcome: Outcome<CloudResponse>,
     },
     /// The status and report that a worker answered to direct orders.
-    Ordered {
+    OrderResponse {
         /// The call.
-        call: Call,
+        call: CallId,
         /// What became of it.
         outcome: Outcome<(u16, Report)>,
     },
@@ -224,11 +224,11 @@
     },
     /// How much of its time the processor was busy lately, 0 to 1, and how much too late the
     /// tick comes that follows.
-    Busy {
+    ProcessorLoad {
         /// Share of its time for which the processor was busy.
         share: f64,
         /// How much too late the next tick comes.
-        late: Duration,
+        tick_delay: Duration,
     },
     /// Time passes.
     Tick,
@@ -236,7 +236,7 @@
 
 /// An HTTP answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
+pub struct HttpResponse {
     /// Its status.
     pub status: u16,
     /// Its body.
@@ -245,21 +245,21 @@
     pub retry_after_s: Option<u32>,
 }
 
-impl Answer {
+impl HttpResponse {
     /// An answer with a JSON body.
-    pub fn json<T: serde::Serialize>(status: u16, body: &T) -> Answer {
+    pub fn json<T: serde::Serialize>(status: u16, body: &T) -> HttpResponse {
         let body = serde_json::to_vec(body).expect("answers always encode");
-        Answer { status, body, retry_after_s: None }
+        HttpResponse { status, body, retry_after_s: None }
     }
 
     /// An answer that says what is wrong.
-    pub fn error(status: u16, text: &str) -> Answer {
-        Answer::json(status, &serde_json::json!({ "error": text }))
+    pub fn error(status: u16, text: &str) -> HttpResponse {
+        HttpResponse::json(status, &serde_json::json!({ "error": text }))
     }
 
     /// Tells the client at once that it should come back.
-    pub fn later(status: u16, text: &str) -> Answer {
-        Answer { retry_after_s: Some(1), ..Answer::error(status, text) }
+    pub fn later(status: u16, text: &str) -> HttpResponse {
+        HttpResponse { retry_after_s: Some(1), ..HttpResponse::error(status, text) }
     }
 }
 
@@ -267,16 +267,16 @@
 #[derive(Clone, Debug)]
 pub enum Output {
     /// Answers a request.
-    Answer {
+    Response {
         /// The request.
-        req: Req,
+        request_id: RequestId,
         /// The answer.
-        answer: Answer,
+        response: HttpResponse,
     },
     /// Calls the state service.
     Store {
         /// Names the call for its outcome.
-        call: Call,
+        call: CallId,
         /// The call.
         op: StoreOp,
         /// How urgent it is.
@@ -285,14 +285,14 @@
     /// Calls the cloud.
     Cloud {
         /// Names the call for its outcome.
-        call: Call,
+        call: CallId,
         /// The call.
         op: CloudOp,
     },
     /// Orders a worker directly.
     Order {
         /// Names the call for its outcome.
-        call: Call,
+        call: CallId,
         /// The worker's address.
         addr: String,
         /// The orders.
@@ -310,7 +310,7 @@
     /// Hands reports to the leader.
     Relay {
         /// Names the call for its outcome.
-        call: Call,
+        call: CallId,
         /// The other node's label.
         label: String,
         /// The reports.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -32,5 +32,7 @@
 pub use env::Now;
 pub use facts::{Facts, Objective, Policy, Team};
 pub use fleet::stop_account::AwaitedStops;
-pub use io::{Answer, Call, CloudAnswer, CloudOp, Input, Outcome, Output, Req, StoreAnswer, StoreOp, Urgency};
+pub use io::{
+    CallId, CloudOp, CloudResponse, HttpResponse, Input, Outcome, Output, RequestId, StoreOp, StoreResponse, Urgency,
+};
 pub use node::Node;
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -31,7 +31,7 @@
     pub(crate) election: Election,
     pub(crate) term: Option<Term>,
     pub(crate) users: Users,
-    pub(crate) store: StoreHealth,
+    pub(crate) store_health: StoreHealth,
     incarnation: u64,
     peers: BTreeMap<String, Peer>,
     types_asked: Option<Instant>,
@@ -64,7 +64,7 @@
 
     /// Whether calls have failed for long enough to turn users away at once. Calls that hang
     /// fail late: what counts then is how long ago one was answered.
-    pub fn down(&self, now: Instant) -> bool {
+    pub fn is_down(&self, now: Instant) -> bool {
         let long = |since: Option<Instant>, limit| since.is_some_and(|t| now.duration_since(t) > limit);
         self.failing_since.is_some() && (long(self.failing_since, DOWN) || long(self.last_ok, UNANSWERED))
     }
@@ -91,7 +91,7 @@
 impl Node {
     /// A node at its start; the seed names this process among all that ever run on it.
     pub fn new(facts: Facts, policy: Policy, seed: u64, now: Now) -> Node {
-        let peers = facts.others.iter().map(|label| (label.clone(), Peer::default())).collect();
+        let peers = facts.peers.iter().map(|label| (label.clone(), Peer::default())).collect();
         Node {
             election: Election::new(facts.label.clone(), seed),
             env: Env {
@@ -99,14 +99,14 @@
                 facts: Arc::new(facts),
                 policy: Arc::new(policy),
                 rng: StdRng::seed_from_u64(seed),
-                types: Arc::new(Vec::new()),
-                out: Vec::new(),
+                machine_types: Arc::new(Vec::new()),
+                outputs: Vec::new(),
                 calls: HashMap::new(),
                 next_call: 0,
             },
             term: None,
             users: Users::default(),
-            store: StoreHealth::default(),
+            store_health: StoreHealth::default(),
             incarnation: seed,
             peers,
             types_asked: None,
@@ -133,30 +133,30 @@
     pub fn handle(&mut self, now: Now, input: Input) -> Vec<Output> {
         self.env.now = now;
         match input {
-            Input::Submit { req, spec } => self.submit(req, *spec),
-            Input::Status { req, id } => self.status(req, id),
-            Input::Cancel { req, id } => self.cancel(req, id),
-            Input::Ready { req } => self.ready(req),
-            Input::Report { req, report, unread } => self.report(req, *report, unread),
-            Input::Peer { req, request } => self.peer_requested(req, request),
+            Input::Submit { request_id, spec } => self.submit(request_id, *spec),
+            Input::Status { request_id, id } => self.status(request_id, id),
+            Input::Cancel { request_id, id } => self.cancel(request_id, id),
+            Input::Ready { request_id } => self.ready(request_id),
+            Input::Report { request_id, report, unparsed_tasks } => self.report(request_id, *report, unparsed_tasks),
+            Input::Peer { request_id, request } => self.peer_requested(request_id, request),
             Input::Store { call, outcome } => self.store_outcome(call, outcome),
             Input::Cloud { call, outcome } => self.cloud_outcome(call, outcome),
-            Input::Ordered { call, outcome } => self.ordered(call, outcome),
+            Input::OrderResponse { call, outcome } => self.ordered(call, outcome),
             Input::PeerResponse { label, outcome } => self.peer_responded(&label, outcome),
-            Input::Relay { req, relay } => self.relay_requested(req, relay),
+            Input::Relay { request_id, relay } => self.relay_requested(request_id, relay),
             Input::RelayResponse { call, outcome } => self.relay_responded(call, outcome),
-            Input::Busy { share, late } => {
+            Input::ProcessorLoad { share, tick_delay } => {
                 self.busy = share;
                 if let Some(term) = &mut self.term {
-                    term.pace_calls(late, &self.env);
+                    term.adjust_direct_call_rate(tick_delay, &self.env);
                 }
             }
             Input::Tick => self.tick(),
         }
         if let Some(term) = &mut self.term {
-            term.settle(&mut self.env);
+            term.run_due_work(&mut self.env);
         }
-        std::mem::take(&mut self.env.out)
+        std::mem::take(&mut self.env.outputs)
     }
 
     fn tick(&mut self) {
@@ -172,10 +172,10 @@
             term.tick(&mut self.env);
             // While the store is silent workers are turned away on purpose, and no other
             // node could take over.
-            if term.cut_off && !self.store.down(self.env.now.steady) {
+            if term.partitioned && !self.store_health.is_down(self.env.now.steady) {
                 self.step_down("hardly any worker reaches this node");
                 self.election.rest(self.env.now.steady, REST);
-            } else if term.in_minority && !self.store.down(self.env.now.steady) {
+            } else if term.in_minority && !self.store_health.is_down(self.env.now.steady) {
                 // If no other can lead, this node is back before its workers' leases end.
                 self.gave_way = Some(self.env.steady());
                 self.step_down("most machines and all other controllers are out of reach");
@@ -184,38 +184,40 @@
         }
     }
 
-    fn store_outcome(&mut self, call: Call, outcome: Outcome<StoreAnswer>) {
+    fn store_outcome(&mut self, call: CallId, outcome: Outcome<StoreResponse>) {
         let ok = !matches!(
             outcome,
-            Outcome::NotDone | Outcome::Unknown | Outcome::Answered(StoreAnswer::Unavailable | StoreAnswer::Limited)
+            Outcome::NotExecuted
+                | Outcome::Unknown
+                | Outcome::Responded(StoreResponse::Unavailable | StoreResponse::RateLimited)
         );
         let Some(purpose) = self.env.calls.remove(&call) else {
             return;
         };
         if !matches!(purpose, Purpose::Election(ElectionCall::Watch) | Purpose::Load(LoadCall::Watch { .. })) || ok {
-            self.store.note(self.env.steady(), ok);
+            self.store_health.note(self.env.steady(), ok);
         }
         match purpose {
             Purpose::Election(leader) => self.election_outcome(leader, outcome),
             Purpose::User(user) => self.user_outcome(user, outcome),
             Purpose::Load(load) => {
                 if let Some(term) = &mut self.term {
-                    term.loaded(&mut self.env, load, outcome);
+                    term.load_outcome(&mut self.env, load, outcome);
                 }
             }
             Purpose::Record(record) => {
                 if let Some(term) = &mut self.term
-                    && term.recorded(&mut self.env, record, outcome)
+                    && term.record_outcome(&mut self.env, record, outcome)
                 {
                     self.step_down("a write was refused: another node leads");
                 }
             }
             Purpose::ReadTypes => {
-                if let Outcome::Answered(StoreAnswer::Item(Some(item))) = outcome
-                    && self.env.types.is_empty()
+                if let Outcome::Responded(StoreResponse::Item(Some(item))) = outcome
+                    && self.env.machine_types.is_empty()
                     && let Ok(types) = serde_json::from_value::<Vec<MachineType>>(item.value)
                 {
-                    self.env.types = Arc::new(types);
+                    self.env.machine_types = Arc::new(types);
                 }
             }
             Purpose::Probe
@@ -231,17 +233,17 @@
     /// makes no other calls: it would not notice that the store is back.
     fn probe_store(&mut self) {
         let now = self.env.steady();
-        if self.store.down(now) && self.probed.is_none_or(|t| now.duration_since(t) >= PROBE_PERIOD) {
+        if self.store_health.is_down(now) && self.probed.is_none_or(|t| now.duration_since(t) >= PROBE_PERIOD) {
             self.probed = Some(now);
-            self.env.store(Purpose::Probe, Urgency::Leadership, StoreOp::Get(LEADER_KEY.into()));
+            self.env.call_store(Purpose::Probe, Urgency::Leadership, StoreOp::Get(LEADER_KEY.into()));
         }
     }
 
-    fn cloud_outcome(&mut self, call: Call, outcome: Outcome<CloudAnswer>) {
+    fn cloud_outcome(&mut self, call: CallId, outcome: Outcome<CloudResponse>) {
         match self.env.calls.remove(&call) {
             Some(Purpose::Types) => {
                 self.types_wait = false;
-                if let Outcome::Answered(CloudAnswer::Types(types)) = outcome
+                if let Outcome::Responded(CloudResponse::Types(types)) = outcome
                     && !types.is_empty()
                 {
                     self.keep_types(types);
@@ -258,7 +260,7 @@
 
     // Peers.
 
-    fn ready(&mut self, req: Req) {
+    fn ready(&mut self, request_id: RequestId) {
         let now = self.env.steady();
         // A node that alone has lost the state service sends its users elsewhere. While
         // all have lost it, staying in the load balancer saves the time to get back in.
@@ -267,35 +269,35 @@
                 response.store_ok && now.duration_since(*asked) < Duration::from_secs(4)
             })
         });
-        let answer = if self.env.types.is_empty() {
-            Answer::later(503, "machine types are not known yet")
-        } else if self.store.last_ok.is_none() || (self.store.down(now) && peer_has_store) {
-            Answer::later(503, "the state service does not answer this node")
+        let answer = if self.env.machine_types.is_empty() {
+            HttpResponse::later(503, "machine types are not known yet")
+        } else if self.store_health.last_ok.is_none() || (self.store_health.is_down(now) && peer_has_store) {
+            HttpResponse::later(503, "the state service does not answer this node")
         } else {
-            Answer::json(200, &serde_json::json!({ "ready": true }))
+            HttpResponse::json(200, &serde_json::json!({ "ready": true }))
         };
-        self.env.answer(req, answer);
+        self.env.respond(request_id, answer);
     }
 
     // Workers.
 
-    pub(crate) fn report(&mut self, req: Req, report: Report, unread: Option<Box<RawValue>>) {
+    pub(crate) fn report(&mut self, request_id: RequestId, report: Report, unread: Option<Box<RawValue>>) {
         let unread = unread.unwrap_or_else(no_tasks);
         self.election.worker_seen = Some(self.env.steady());
         if let Some(term) = &mut self.term {
-            term.visited = self.env.now.steady;
+            term.last_direct_report = self.env.now.steady;
         }
         if let Some(answer) = self.hand_over() {
-            self.env.answer(req, answer);
+            self.env.respond(request_id, answer);
             return;
         }
         match self.answer_report(report, Tasks::Unread(&unread)) {
-            ReportOutcome::Answer(answer) => self.env.answer(req, answer),
+            ReportOutcome::Response(answer) => self.env.respond(request_id, answer),
             ReportOutcome::TasksNeeded => unreachable!("its tasks are there"),
-            ReportOutcome::Elsewhere(report) => {
-                if !self.relay(req, report, unread) {
+            ReportOutcome::NotLeader(report) => {
+                if !self.relay(request_id, report, unread) {
                     let report_to = self.where_to();
-                    self.env.answer(req, Answer::json(421, &Elsewhere { report_to }));
+                    self.env.respond(request_id, HttpResponse::json(421, &Elsewhere { report_to }));
                 }
             }
         }
@@ -304,29 +306,29 @@
     /// The leader's answer to a report, be it the worker's own call or handed on.
     pub(crate) fn answer_report(&mut self, report: Report, tasks: Tasks) -> ReportOutcome {
         let Some(term) = &mut self.term else {
-            return ReportOutcome::Elsewhere(report);
+            return ReportOutcome::NotLeader(report);
         };
         if report.token > term.token {
             self.step_down("a worker has seen a higher token");
-            return ReportOutcome::Elsewhere(report);
+            return ReportOutcome::NotLeader(report);
         }
         let (now, facts) = (self.env.now.steady, &self.env.facts);
-        let entitled = term.sees_cancellations(now, facts) && self.election.entitled(now, facts);
-        term.note_entitled(now, entitled);
+        let entitled = term.cancellations_are_current(now, facts) && self.election.entitled(now, facts);
+        term.note_reporting_right(now, entitled);
         if !entitled {
             // Silent for too long: a new leader counts on our saying nothing more, and so does
             // whoever cancelled a job of which this node cannot have heard.
-            return ReportOutcome::Answer(Answer::later(503, "the state service does not answer"));
+            return ReportOutcome::Response(HttpResponse::later(503, "the state service does not answer"));
         }
-        term.report(&mut self.env, report, tasks).map_or(ReportOutcome::TasksNeeded, ReportOutcome::Answer)
+        term.report(&mut self.env, report, tasks).map_or(ReportOutcome::TasksNeeded, ReportOutcome::Response)
     }
 
-    fn ordered(&mut self, call: Call, outcome: Outcome<(u16, Report)>) {
+    fn ordered(&mut self, call: CallId, outcome: Outcome<(u16, Report)>) {
         let Some(Purpose::Order { machine }) = self.env.calls.remove(&call) else {
             return;
         };
         let Some(term) = &mut self.term else { return };
-        if let Outcome::Answered((_, report)) = &outcome
+        if let Outcome::Responded((_, report)) = &outcome
             && report.token > term.token
         {
             self.step_down("a worker has seen a higher token");
@@ -340,9 +342,9 @@
     pub(crate) fn begin_term(&mut self, token: u64) {
         let facts = &self.env.facts;
         tracing::info!(token, "leading from now on");
-        let silent = self.env.steady() + facts.silence_allowance();
+        let silent = self.env.steady() + facts.self_fencing_timeout();
         let mut term = Term::new(token, self.env.steady(), silent, facts, &self.env.policy);
-        term.begin(&mut self.env);
+        term.start_loading(&mut self.env);
         self.term = Some(term);
         // The peers are asked at once whether an earlier leader still acts.
         self.progress_sent = None;
--- a/crates/core/src/node/machine_types.rs
+++ b/crates/core/src/node/machine_types.rs
@@ -14,24 +14,24 @@
     /// A new set of machine types: the leader leaves it in the state service, so that a
     /// node that starts while the cloud is down can still judge submissions.
     pub(super) fn keep_types(&mut self, types: Vec<MachineType>) {
-        let first = self.env.types.is_empty();
-        self.env.types = Arc::new(types);
+        let first = self.env.machine_types.is_empty();
+        self.env.machine_types = Arc::new(types);
         if let Some(term) = &mut self.term {
             term.types_changed(&self.env);
         }
         if first || self.term.is_some() {
-            let value = serde_json::to_value(&*self.env.types).expect("types always encode");
+            let value = serde_json::to_value(&*self.env.machine_types).expect("types always encode");
             if value.to_string().len() > self.env.facts.value_bytes {
                 return;
             }
             let txn = rushyoke_wire::store::Txn::default().put(TYPES_KEY, value);
-            self.env.store(Purpose::KeepTypes, Urgency::Low, StoreOp::Txn(txn));
+            self.env.call_store(Purpose::KeepTypes, Urgency::Low, StoreOp::Txn(txn));
         }
     }
 
     pub(super) fn types_tick(&mut self) {
         let now = self.env.steady();
-        let period = match (self.env.types.is_empty(), self.term.is_some()) {
+        let period = match (self.env.machine_types.is_empty(), self.term.is_some()) {
             (true, _) => TYPES_RETRY,
             (false, true) => TYPES_PERIOD,
             (false, false) => return,
@@ -41,9 +41,9 @@
         }
         self.types_asked = Some(now);
         self.types_wait = true;
-        self.env.cloud(Purpose::Types, CloudOp::Types);
-        if self.env.types.is_empty() {
-            self.env.store(Purpose::ReadTypes, Urgency::High, StoreOp::Get(TYPES_KEY.into()));
+        self.env.call_cloud(Purpose::Types, CloudOp::Types);
+        if self.env.machine_types.is_empty() {
+            self.env.call_store(Purpose::ReadTypes, Urgency::High, StoreOp::Get(TYPES_KEY.into()));
         }
     }
 }
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -6,7 +6,7 @@
 
 use crate::io::*;
 use crate::jobs::Job;
-use crate::term::{ControllersSeen, Term};
+use crate::term::{PeerControllers, Term};
 
 use super::{BUSY, GAVE_WAY_LATELY, MUCH_LESS, Node, PEER_PERIOD};
 
@@ -33,7 +33,7 @@
         let token = self.token();
         let full = self.term.as_ref().is_some_and(|term| {
             let bytes: usize = term.jobs.values().map(Job::bytes).sum();
-            term.jobs.len() >= self.env.policy.max_jobs || bytes >= self.env.facts.job_bytes
+            term.jobs.len() >= self.env.policy.max_jobs || bytes >= self.env.facts.max_job_bytes
         });
         if token.is_some() {
             self.users.full = full;
@@ -45,25 +45,25 @@
             peer.asked = Some(now);
             peer.waiting = true;
             let request = PeerRequest { label: self.env.facts.label.clone(), token, full, progress: progress.clone() };
-            self.env.out.push(Output::Peer { label: label.clone(), request });
+            self.env.outputs.push(Output::Peer { label: label.clone(), request });
         }
     }
 
-    pub(super) fn peer_requested(&mut self, req: Req, request: PeerRequest) {
+    pub(super) fn peer_requested(&mut self, request_id: RequestId, request: PeerRequest) {
         if request.token.is_some() {
-            self.users.take_progress(request.progress, self.env.policy.known_jobs);
+            self.users.take_progress(request.progress, self.env.policy.job_cache_size);
             self.users.full = request.full;
         }
         let response = PeerResponse {
             label: self.env.facts.label.clone(),
             incarnation: self.incarnation,
-            store_ok: self.store.last_ok.is_some() && !self.store.down(self.env.steady()),
+            store_ok: self.store_health.last_ok.is_some() && !self.store_health.is_down(self.env.steady()),
             token: self.token(),
             relays_to: self.relays_to(),
             busy: (self.busy * 100.0) as u8,
         };
         let body = rushyoke_wire::peer::encode(&response);
-        self.env.answer(req, Answer { status: 200, body, retry_after_s: None });
+        self.env.respond(request_id, HttpResponse { status: 200, body, retry_after_s: None });
         if let (Some(own), Some(theirs)) = (self.token(), request.token)
             && theirs > own
         {
@@ -76,7 +76,7 @@
             return;
         };
         peer.waiting = false;
-        let (Outcome::Answered(response), Some(asked)) = (outcome, peer.asked) else {
+        let (Outcome::Responded(response), Some(asked)) = (outcome, peer.asked) else {
             return;
         };
         if response.label != label {
@@ -90,29 +90,31 @@
     /// with an older token, no earlier leader can renew any worker's lease again.
     fn judge_old_leader(&mut self) {
         let Some(term) = &mut self.term else { return };
-        let mut latest = term.since;
+        let mut latest = term.started_at;
         for peer in self.peers.values() {
             match &peer.told {
-                Some((asked, response)) if *asked >= term.since && response.token.is_none_or(|t| t >= term.token) => {
+                Some((asked, response))
+                    if *asked >= term.started_at && response.token.is_none_or(|t| t >= term.token) =>
+                {
                     latest = latest.max(*asked);
                 }
                 _ => return,
             }
         }
-        term.old_leader_silent(self.env.now.steady.max(latest));
+        term.set_predecessors_inactive(self.env.now.steady.max(latest));
     }
 
     /// Which other nodes answer, and from where.
-    pub(super) fn controllers_seen(&self) -> ControllersSeen {
+    pub(super) fn controllers_seen(&self) -> PeerControllers {
         let now = self.env.steady();
         let lately = |at: Instant, limit| now.duration_since(at) < limit;
         let answers = |peer: &Peer| peer.told.as_ref().is_some_and(|(asked, _)| lately(*asked, PEER_ANSWERS));
         let answering = || self.peers.iter().filter(|(_, peer)| answers(peer)).map(|(label, _)| label);
-        ControllersSeen {
-            others: self.peers.len(),
-            answering: answering().count(),
-            zones: answering().filter_map(|label| self.env.facts.locations.get(label).cloned()).collect(),
-            gave_way: self.gave_way.is_some_and(|at| lately(at, GAVE_WAY_LATELY)),
+        PeerControllers {
+            total: self.peers.len(),
+            responding: answering().count(),
+            zones: answering().filter_map(|label| self.env.facts.controller_zones.get(label).cloned()).collect(),
+            recently_stepped_down: self.gave_way.is_some_and(|at| lately(at, GAVE_WAY_LATELY)),
         }
     }
 
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -71,7 +71,7 @@
         if job.spec.kind == Kind::Service || job.spec.spread || job.spec.one_zone {
             return Way::OneByOne;
         }
-        match &self.balance {
+        match &self.balancer {
             Some(balancer) => Way::Level { within_s: balancer.pricing().crowding_s(job.mean_run_s, ONE_MORE) },
             None => Way::Filling,
         }
@@ -137,7 +137,7 @@
 
     /// Gives a waiting task a place; it is ordered once that is durable.
     pub fn plan(&mut self, name: &Name, task: u32, machine: &Name, now: Instant) {
-        let attempt = self.attempt();
+        let attempt = self.next_attempt();
         let job = self.jobs.get_mut(name).expect("chosen");
         job.take(task);
         job.served = Some(now);
@@ -166,8 +166,8 @@
         tracing::debug!(job = &**name, task, machine = &**machine, attempt, "placed");
         self.task_placed(now, &(name.clone(), task), machine);
         self.placed_in_zone(now, &(name.clone(), task), machine);
-        let turn = crate::records::state::Turn::of(&self.jobs[name].spec);
-        self.records.changed((name.clone(), task), Some(turn));
+        let turn = crate::records::state::WritePriority::of(&self.jobs[name].spec);
+        self.records.mark_changed((name.clone(), task), Some(turn));
     }
 
     /// Zones where one more task of the job may go; `None` for all.
@@ -219,7 +219,7 @@
             .collect();
         // With more machines than can be weighed for every task, a sample does; a larger one
         // for services, which are few and wait for nothing but their image.
-        let sample = env.policy.sample * if job.spec.kind == Kind::Service { SERVICE_SAMPLES } else { 1 };
+        let sample = env.policy.placement_sample * if job.spec.kind == Kind::Service { SERVICE_SAMPLES } else { 1 };
         if fitting.len() > sample {
             fitting = fitting.into_iter().sample(&mut env.rng, sample);
         }
@@ -252,7 +252,7 @@
     /// others; else the fuller machine goes first, so that others can be returned.
     fn crowding(&self, job: &Job, machine: &Machine) -> f64 {
         let free = (machine.total.cpus - machine.used.cpus) / machine.total.cpus.max(1.0);
-        match &self.balance {
+        match &self.balancer {
             Some(balancer) if job.spec.kind == Kind::Array => {
                 let share = Room::of(&job.spec).dominant_share(machine.total);
                 let used = balancer.load().use_of(&machine.name).unwrap_or(1.0 - free);
@@ -268,7 +268,7 @@
         if machine.images.holds(&job.spec.image) {
             return 0.0;
         }
-        let rate = env.type_named(&machine.kind).map_or(1.0, |k| k.fetch_gb_per_s.max(0.01));
+        let rate = env.machine_type(&machine.kind).map_or(1.0, |k| k.fetch_gb_per_s.max(0.01));
         let alone = job.spec.image_gb / rate;
         let mut fetched: BTreeSet<&str> = BTreeSet::new();
         for (name, task) in &machine.places {
@@ -284,7 +284,7 @@
     /// Room on a machine that nothing takes, and that no open move has booked.
     pub fn free_room(&self, machine: &Machine) -> Room {
         let free = machine.total.minus(machine.used);
-        match &self.balance {
+        match &self.balancer {
             Some(balancer) => free.minus(balancer.load().booked(&machine.name)),
             None => free,
         }
--- a/crates/core/src/place/pass.rs
+++ b/crates/core/src/place/pass.rs
@@ -103,7 +103,7 @@
     let since = |ms: u64| env.now.wall_ms as f64 / 1000.0 - ms as f64 / 1000.0;
     let end = since(job.from_ms) + job.mean_run_s;
     let aims = env.facts.objectives.iter().filter(|o| o.kind == "finished");
-    let aims = aims.filter(|o| o.class.as_ref() == Some(&job.spec.class)).filter_map(|o| o.within);
+    let aims = aims.filter(|o| o.class.as_ref() == Some(&job.spec.class)).filter_map(|o| o.time_limit);
     let left = aims.map(|within| within.as_secs_f64() - end);
     let left = left.chain(job.due_ms.map(|due| -since(due) - job.mean_run_s)).reduce(f64::max);
     left.is_some_and(|left| left < 0.0)
@@ -118,7 +118,7 @@
         None => age,
     };
     // The later slices come sooner, so that the last of its tasks starts in time too.
-    waited >= if job.rescued { env.policy.starved / 2 } else { env.policy.starved }
+    waited >= if job.rescued { env.policy.starvation_timeout / 2 } else { env.policy.starvation_timeout }
 }
 
 impl Term {
@@ -150,7 +150,7 @@
         self.mark_starving(env);
         let within = self.within_guarantee();
         if self.failover.is_some() {
-            self.guaranteed = Arc::new(within.clone());
+            self.jobs_within_quota = Arc::new(within.clone());
         }
         let turns = self.turns(env, &within);
         let mut pass = Pass {
@@ -167,7 +167,7 @@
                 continue;
             }
             if pass.left == 0 || pass.misses > PASS_MISSES {
-                self.place_due = true;
+                self.scheduling_due = true;
                 break;
             }
             self.serve(env, &mut pass, &turn);
@@ -278,8 +278,8 @@
     /// run in vain: others are stopped only for a job that has waited for a good part of
     /// what the users allow.
     fn patience_over(&self, env: &Env, job: &Job) -> bool {
-        let allowed = env.facts.objectives.iter().find(|o| o.kind == "guarantee").and_then(|o| o.within);
-        let patience = allowed.unwrap_or(DEFAULT_PATIENCE).mul_f64(env.policy.patience_share);
+        let allowed = env.facts.objectives.iter().find(|o| o.kind == "guarantee").and_then(|o| o.time_limit);
+        let patience = allowed.unwrap_or(DEFAULT_PATIENCE).mul_f64(env.policy.preemption_delay_share);
         u128::from(env.now.wall_ms.saturating_sub(job.from_ms)) >= patience.as_millis()
     }
 }
--- a/crates/core/src/preempt.rs
+++ b/crates/core/src/preempt.rs
@@ -196,7 +196,7 @@
                 && machine.total.holds(need)
         };
         let mut fitting: Vec<&Machine> = self.machines.values().filter(fits).collect();
-        let most = env.policy.sample * SAMPLES;
+        let most = env.policy.placement_sample * SAMPLES;
         if fitting.len() > most {
             fitting = fitting.into_iter().sample(&mut env.rng, most);
         }
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -29,7 +29,7 @@
 use crate::jobs::*;
 use crate::term::Term;
 
-use state::Turn;
+use state::WritePriority;
 
 const RETRY: Duration = Duration::from_millis(200);
 /// Least time from one transaction to the next: what gathers meanwhile shares a change.
@@ -56,7 +56,7 @@
 
 impl Term {
     /// Sends the next transaction, if anything is to be written and none is under way.
-    pub fn flush(&mut self, env: &mut Env) {
+    pub fn write_records(&mut self, env: &mut Env) {
         let now = env.steady();
         if self.records.retry.is_some_and(|t| t > now) {
             return;
@@ -89,7 +89,7 @@
         let awaited = !batch.tasks.is_empty() || !batch.closed.is_empty();
         // Before the users' changes: a flood of submissions must not keep jobs from starting.
         let urgency = if awaited { Urgency::Record } else { Urgency::Low };
-        env.store(Purpose::Record(RecordCall::Write(batch)), urgency, StoreOp::Txn(txn));
+        env.call_store(Purpose::Record(RecordCall::Write(batch)), urgency, StoreOp::Txn(txn));
     }
 
     fn write_due(&self, now: Instant, write_rps: f64) -> bool {
@@ -141,24 +141,24 @@
         if std::mem::take(&mut self.records.read_segment) {
             self.records.reading += 1;
             let key = segment_key(self.records.last.number);
-            env.store(Purpose::Record(RecordCall::ReadSegment), Urgency::Record, StoreOp::Get(key));
+            env.call_store(Purpose::Record(RecordCall::ReadSegment), Urgency::Record, StoreOp::Get(key));
         }
         for name in std::mem::take(&mut self.records.read_jobs) {
             self.records.reading += 1;
             let key = job_key(&name);
-            env.store(Purpose::Record(RecordCall::ReadJob(name)), Urgency::Record, StoreOp::Get(key));
+            env.call_store(Purpose::Record(RecordCall::ReadJob(name)), Urgency::Record, StoreOp::Get(key));
         }
     }
 
     /// Returns true if the store showed that another node leads.
-    pub fn recorded(&mut self, env: &mut Env, call: RecordCall, outcome: Outcome<StoreAnswer>) -> bool {
+    pub fn record_outcome(&mut self, env: &mut Env, call: RecordCall, outcome: Outcome<StoreResponse>) -> bool {
         match call {
             RecordCall::Write(batch) => return self.written(env, batch, outcome),
             RecordCall::ReadSegment => {
                 self.records.reading -= 1;
                 match outcome {
                     // Memory holds what is true; only the version was in doubt.
-                    Outcome::Answered(StoreAnswer::Item(item)) => {
+                    Outcome::Responded(StoreResponse::Item(item)) => {
                         self.records.last.version = item.map_or(0, |item| item.version);
                     }
                     _ => {
@@ -170,12 +170,12 @@
             RecordCall::ReadJob(name) => {
                 self.records.reading -= 1;
                 match outcome {
-                    Outcome::Answered(StoreAnswer::Item(Some(item))) => {
+                    Outcome::Responded(StoreResponse::Item(Some(item))) => {
                         if let Ok(record) = serde_json::from_value::<JobRecord>(item.value) {
                             self.job_read(env, &name, record.state, item.version);
                         }
                     }
-                    Outcome::Answered(StoreAnswer::Item(None)) => {
+                    Outcome::Responded(StoreResponse::Item(None)) => {
                         tracing::error!(job = &*name, "the record of an accepted job is missing");
                     }
                     _ => {
@@ -189,18 +189,18 @@
     }
 
     /// The transaction has an outcome; true if another node leads.
-    fn written(&mut self, env: &mut Env, batch: Batch, outcome: Outcome<StoreAnswer>) -> bool {
+    fn written(&mut self, env: &mut Env, batch: Batch, outcome: Outcome<StoreResponse>) -> bool {
         self.records.in_flight = false;
         self.records.flying.clear();
         match outcome {
-            Outcome::Answered(StoreAnswer::Committed(version)) => self.committed(env, batch, version),
-            Outcome::Answered(StoreAnswer::Refused(failed)) => {
+            Outcome::Responded(StoreResponse::Committed(version)) => self.committed(env, batch, version),
+            Outcome::Responded(StoreResponse::ConditionsFailed(failed)) => {
                 if failed.iter().any(|key| key == LEADER_KEY) {
                     return true;
                 }
                 self.refused(batch, &failed);
             }
-            Outcome::Answered(_) | Outcome::NotDone => {
+            Outcome::Responded(_) | Outcome::NotExecuted => {
                 self.records.retry = Some(env.steady() + RETRY);
                 self.requeue(batch);
             }
@@ -218,13 +218,13 @@
         for ((name, task), _) in batch.tasks {
             let place = self.jobs.get(&name).and_then(|job| job.places.get(&task));
             let planned = place.is_some_and(|place| place.stage == Stage::Planned);
-            let turn = self.jobs.get(&name).filter(|_| planned).map(|job| Turn::of(&job.spec));
-            self.records.changed((name, task), turn);
+            let turn = self.jobs.get(&name).filter(|_| planned).map(|job| WritePriority::of(&job.spec));
+            self.records.mark_changed((name, task), turn);
         }
         for name in batch.closed {
             if let Some(job) = self.jobs.get_mut(&name) {
                 job.closing = false;
-                self.records.close(&name);
+                self.records.queue_close(&name);
             }
         }
         self.records.drops.extend(batch.drops);
@@ -264,7 +264,7 @@
             if let Some(job) = self.jobs.get_mut(&name) {
                 job.pages.insert(page, version);
             } else {
-                self.records.drop_key(page_key(&name, page));
+                self.records.delete_key(page_key(&name, page));
             }
         }
         for name in batch.closed {
@@ -272,7 +272,7 @@
             tracing::debug!(job = &*name, cancelled, "over");
             self.dependency_over(env, &name, if cancelled { RecordState::Cancelled } else { RecordState::Done });
             self.forget_job(&name);
-            self.place_due = true;
+            self.scheduling_due = true;
         }
     }
 
@@ -291,10 +291,10 @@
                 if !job.cancelled {
                     self.job_cancelled(env, name);
                 } else {
-                    self.after_change(name);
+                    self.close_if_over(name);
                 }
             }
-            RecordState::Open => self.after_change(name),
+            RecordState::Open => self.close_if_over(name),
         }
     }
 }
--- a/crates/core/src/records/log.rs
+++ b/crates/core/src/records/log.rs
@@ -76,7 +76,7 @@
         let reran = |key: &TaskKey| jobs.get(&key.0).is_some_and(|job| job.zone_reruns.contains_key(&key.1));
         records.last.tasks.retain(|key| jobs.get(&key.0).is_some_and(|job| !job.closing));
         let mut size = Size::default();
-        let kept: Vec<&TaskKey> = records.last.tasks.iter().filter(|key| records.durable(key)).collect();
+        let kept: Vec<&TaskKey> = records.last.tasks.iter().filter(|key| records.is_durable(key)).collect();
         kept.iter().for_each(|key| size.add(key, place_of(key), reran(key), addr_len));
         let mut whole = Size { bytes: size.bytes, jobs: size.jobs.clone(), machines: size.machines.clone() };
         due.iter().for_each(|key| whole.add(key, place_of(key), reran(key), addr_len));
@@ -164,7 +164,7 @@
                 self.records.sealed.push_front(oldest);
                 break;
             }
-            self.records.drop_key(segment_key(oldest.number));
+            self.records.delete_key(segment_key(oldest.number));
         }
         let records = &mut self.records;
         records.sealed.retain(|sealed| {
@@ -222,7 +222,7 @@
         }
         let again = oldest.tasks.iter().filter(|(name, task)| sparse && unfit.contains(&(name.clone(), task / PAGE)));
         for key in again.cloned().collect::<Vec<_>>() {
-            self.records.changed(key, None);
+            self.records.mark_changed(key, None);
         }
         !unfit.is_empty()
     }
--- a/crates/core/src/records/state.rs
+++ b/crates/core/src/records/state.rs
@@ -9,17 +9,17 @@
 
 /// When a new place is written.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Turn {
+pub(crate) enum WritePriority {
     /// A production service's: before all others.
-    First,
-    Rest,
+    ProductionService,
+    Normal,
 }
 
-impl Turn {
-    pub fn of(spec: &JobSpec) -> Turn {
+impl WritePriority {
+    pub fn of(spec: &JobSpec) -> WritePriority {
         match (spec.kind, spec.priority) {
-            (Kind::Service, Priority::Production) => Turn::First,
-            _ => Turn::Rest,
+            (Kind::Service, Priority::Production) => WritePriority::ProductionService,
+            _ => WritePriority::Normal,
         }
     }
 }
@@ -67,11 +67,11 @@
 }
 
 impl Records {
-    pub fn changed(&mut self, key: TaskKey, placed: Option<Turn>) {
+    pub fn mark_changed(&mut self, key: TaskKey, placed: Option<WritePriority>) {
         match placed {
             Some(turn) => {
                 self.changed.remove(&key);
-                self.placed.insert((turn == Turn::Rest, key));
+                self.placed.insert((turn == WritePriority::Normal, key));
             }
             None if self.waits(&key) => {}
             None => {
@@ -92,11 +92,11 @@
     }
 
     /// Whether a task's state is durable as it is.
-    pub fn durable(&self, key: &TaskKey) -> bool {
+    pub fn is_durable(&self, key: &TaskKey) -> bool {
         !self.changed.contains(key) && !self.waits(key) && !self.flying.contains(key)
     }
 
-    pub fn close(&mut self, job: &Name) {
+    pub fn queue_close(&mut self, job: &Name) {
         if self.to_close.insert(job.clone()) {
             self.closing.push_back(job.clone());
         }
@@ -108,12 +108,12 @@
         Some(name)
     }
 
-    pub fn drop_key(&mut self, key: String) {
+    pub fn delete_key(&mut self, key: String) {
         self.drops.push_back(key);
     }
 
     /// Takes over a segment that an earlier leader left; they come in the order of writing.
-    pub fn inherit(&mut self, number: u64, version: u64, tasks: BTreeSet<TaskKey>) {
+    pub fn add_inherited_segment(&mut self, number: u64, version: u64, tasks: BTreeSet<TaskKey>) {
         self.last.number = self.last.number.max(number + 1);
         self.newer(tasks.iter());
         self.sealed.push_back(Sealed { number, version, tasks });
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -20,12 +20,12 @@
 const TASK: &str = "task/";
 
 impl Term {
-    pub fn begin(&mut self, env: &mut Env) {
+    pub fn start_loading(&mut self, env: &mut Env) {
         self.read_on(env);
     }
 
     /// Stops all tasks of a job that is cancelled.
-    pub fn stop_cancelled(&mut self, env: &mut Env, name: &Name) {
+    pub fn stop_cancelled_job(&mut self, env: &mut Env, name: &Name) {
         let Some(job) = self.jobs.get_mut(name) else {
             return;
         };
@@ -39,18 +39,18 @@
         for task in tasks {
             self.stop_task(env, name, task, 0.0);
         }
-        self.after_change(name);
+        self.close_if_over(name);
     }
 
     /// Looks whether a job is over.
-    pub fn after_change(&mut self, name: &Name) {
+    pub fn close_if_over(&mut self, name: &Name) {
         let Some(job) = self.jobs.get(name) else {
             return;
         };
         let over = if job.cancelled { job.places.is_empty() } else { job.complete() };
         if over {
             self.stops.job_ended(name);
-            self.records.close(name);
+            self.records.queue_close(name);
         }
     }
 
@@ -60,24 +60,24 @@
         if let Some(job) = self.jobs.remove(name) {
             self.unlink(&job);
             for page in job.pages.keys() {
-                self.records.drop_key(page_key(name, *page));
+                self.records.delete_key(page_key(name, *page));
             }
         }
         self.speculation.forget(name);
-        if let Some(balancer) = &mut self.balance {
+        if let Some(balancer) = &mut self.balancer {
             balancer.job_over(name);
         }
         if let Some(failover) = &mut self.failover {
             failover.job_over(name);
         }
-        self.progress.remove(name);
+        self.jobs_with_progress.remove(name);
     }
 
     pub fn tick(&mut self, env: &mut Env) {
         let now = env.steady();
-        if self.retry.is_some_and(|t| t <= now) {
-            self.retry = None;
-            if !self.ready() && !self.waiting {
+        if self.retry_at.is_some_and(|t| t <= now) {
+            self.retry_at = None;
+            if !self.ready() && !self.load_request_pending {
                 self.read_on(env);
             } else if self.ready() {
                 self.watch(env);
@@ -86,23 +86,23 @@
         if !self.ready() {
             return;
         }
-        self.allowance = self.grant;
+        self.direct_call_budget = self.direct_calls_per_tick;
         self.read_awaited(env);
-        if self.last_look.is_none_or(|t| now.duration_since(t) >= Duration::from_millis(300)) {
-            self.last_look = Some(now);
+        if self.last_liveness_check.is_none_or(|t| now.duration_since(t) >= Duration::from_millis(300)) {
+            self.last_liveness_check = Some(now);
             self.check_silence(env);
         }
-        if self.last_second.is_none_or(|t| now.duration_since(t) >= Duration::from_secs(1)) {
-            self.last_second = Some(now);
+        if self.last_periodic_work.is_none_or(|t| now.duration_since(t) >= Duration::from_secs(1)) {
+            self.last_periodic_work = Some(now);
             self.rent_tick(env);
             self.speculate_tick(env);
             self.spread_tick(env);
-            self.place_due = true;
+            self.scheduling_due = true;
         }
     }
 
     /// Runs at the end of every input: places, writes and orders what has become due.
-    pub fn settle(&mut self, env: &mut Env) {
+    pub fn run_due_work(&mut self, env: &mut Env) {
         if !self.ready() {
             return;
         }
@@ -110,12 +110,12 @@
         self.place_vacated(env);
         // A pass looks at every unfinished job, so many jobs make passes rarer.
         let gap = (PASS_GAP + PASS_GAP_PER_JOB * self.jobs.len() as u32).min(LONGEST_PASS_GAP);
-        if self.place_due && self.placed_at.is_none_or(|t| now.duration_since(t) >= gap) {
-            self.place_due = false;
-            self.placed_at = Some(now);
+        if self.scheduling_due && self.last_pass_at.is_none_or(|t| now.duration_since(t) >= gap) {
+            self.scheduling_due = false;
+            self.last_pass_at = Some(now);
             self.place_pass(env);
         }
-        self.flush(env);
+        self.write_records(env);
         self.make_calls(env);
     }
 }
--- a/crates/core/src/recover/load.rs
+++ b/crates/core/src/recover/load.rs
@@ -15,58 +15,60 @@
 use crate::quota::Room;
 
 use super::{LIVE, LOG, RETRY, TASK};
-use crate::term::{Load, Term};
+use crate::term::{LoadStage, Term};
 
 impl Term {
     pub(super) fn read_on(&mut self, env: &mut Env) {
-        self.waiting = true;
-        if matches!(&self.load, Load::Jobs { after } if after.is_empty()) {
-            self.reading_since = env.steady();
+        self.load_request_pending = true;
+        if matches!(&self.load_stage, LoadStage::Jobs { after } if after.is_empty()) {
+            self.job_read_started_at = env.steady();
         }
-        let (call, op) = match &self.load {
-            Load::Jobs { after } => (LoadCall::Jobs, StoreOp::List { prefix: LIVE.into(), after: after.clone() }),
-            Load::Segments { after } => {
+        let (call, op) = match &self.load_stage {
+            LoadStage::Jobs { after } => (LoadCall::Jobs, StoreOp::List { prefix: LIVE.into(), after: after.clone() }),
+            LoadStage::Segments { after } => {
                 (LoadCall::Segments, StoreOp::List { prefix: LOG.into(), after: after.clone() })
             }
-            Load::Pages { after } => (LoadCall::Pages, StoreOp::List { prefix: TASK.into(), after: after.clone() }),
-            Load::OpenMoves { after } => {
+            LoadStage::Pages { after } => {
+                (LoadCall::Pages, StoreOp::List { prefix: TASK.into(), after: after.clone() })
+            }
+            LoadStage::OpenMoves { after } => {
                 (LoadCall::OpenMoves, StoreOp::List { prefix: RECORD_PREFIX.into(), after: after.clone() })
             }
-            Load::Failover => (LoadCall::Failover, StoreOp::Get(RECORD_KEY.into())),
-            Load::Ready => {
-                self.waiting = false;
+            LoadStage::Failover => (LoadCall::Failover, StoreOp::Get(RECORD_KEY.into())),
+            LoadStage::Ready => {
+                self.load_request_pending = false;
                 return;
             }
         };
         // Until the jobs are read no worker is answered.
         let urgency = if matches!(call, LoadCall::Jobs) { Urgency::Leadership } else { Urgency::High };
-        env.store(Purpose::Load(call), urgency, op);
+        env.call_store(Purpose::Load(call), urgency, op);
     }
 
     /// The watch is renewed as often as the lease, since what it shows bounds what may be
     /// answered just as a renewal does.
     pub(super) fn watch(&mut self, env: &mut Env) {
-        if !self.watching {
-            self.watching = true;
+        if !self.watch_pending {
+            self.watch_pending = true;
             let sent = env.steady();
-            let wait_ms = env.policy.lead_ttl.as_millis() as u64 / 3;
-            let op = StoreOp::Watch { prefix: LIVE.into(), after: self.watch_from, wait_ms };
-            env.store(Purpose::Load(LoadCall::Watch { sent }), Urgency::Leadership, op);
+            let wait_ms = env.policy.leader_lease.as_millis() as u64 / 3;
+            let op = StoreOp::Watch { prefix: LIVE.into(), after: self.watch_revision, wait_ms };
+            env.call_store(Purpose::Load(LoadCall::Watch { sent }), Urgency::Leadership, op);
         }
     }
 
     /// A read of the records, or the watch, has an outcome.
-    pub fn loaded(&mut self, env: &mut Env, call: LoadCall, outcome: Outcome<StoreAnswer>) {
+    pub fn load_outcome(&mut self, env: &mut Env, call: LoadCall, outcome: Outcome<StoreResponse>) {
         match (call, outcome) {
             (LoadCall::Watch { sent }, outcome) => self.watched(env, sent, outcome),
             (LoadCall::Awaited(job), outcome) => self.awaited_read(env, job, outcome),
-            (LoadCall::Failover, Outcome::Answered(StoreAnswer::Item(item))) => {
-                self.waiting = false;
+            (LoadCall::Failover, Outcome::Responded(StoreResponse::Item(item))) => {
+                self.load_request_pending = false;
                 self.zones_read(env, item);
                 self.complete_load(env);
             }
-            (call, Outcome::Answered(StoreAnswer::Page(page))) => {
-                self.waiting = false;
+            (call, Outcome::Responded(StoreResponse::Page(page))) => {
+                self.load_request_pending = false;
                 match call {
                     LoadCall::Jobs => self.jobs_read(env, page),
                     LoadCall::Segments => self.segments_read(env, page),
@@ -75,31 +77,31 @@
                 }
             }
             _ => {
-                self.waiting = false;
-                self.retry = Some(env.steady() + RETRY);
+                self.load_request_pending = false;
+                self.retry_at = Some(env.steady() + RETRY);
             }
         }
     }
 
     fn jobs_read(&mut self, env: &mut Env, page: Page) {
-        if matches!(&self.load, Load::Jobs { after } if after.is_empty()) {
-            self.watch_from = page.revision;
+        if matches!(&self.load_stage, LoadStage::Jobs { after } if after.is_empty()) {
+            self.watch_revision = page.revision;
         }
         let next = next_page(&page);
         for Item { key, value, version } in page.rows {
-            self.live_changed(env, &key, value, version);
+            self.apply_live_record(env, &key, value, version);
         }
         if next.is_none() {
-            self.view_grew(self.reading_since);
+            self.note_cancellations_known(self.job_read_started_at);
         }
-        self.load = match next {
-            Some(after) => Load::Jobs { after },
+        self.load_stage = match next {
+            Some(after) => LoadStage::Jobs { after },
             // Only the jobs were read again; all else is ours alone to write.
-            None if self.loaded => Load::Ready,
-            None => Load::Segments { after: String::new() },
+            None if self.load_complete => LoadStage::Ready,
+            None => LoadStage::Segments { after: String::new() },
         };
         if self.ready() {
-            self.place_due = true;
+            self.scheduling_due = true;
             self.watch(env);
         } else {
             self.read_on(env);
@@ -109,9 +111,9 @@
     fn segments_read(&mut self, env: &mut Env, page: Page) {
         let next = next_page(&page);
         page.rows.into_iter().for_each(|item| self.segment_read(item));
-        self.load = match next {
-            Some(after) => Load::Segments { after },
-            None => Load::Pages { after: String::new() },
+        self.load_stage = match next {
+            Some(after) => LoadStage::Segments { after },
+            None => LoadStage::Pages { after: String::new() },
         };
         self.read_on(env);
     }
@@ -121,11 +123,11 @@
         page.rows.into_iter().for_each(|item| self.page_read(item));
         match next {
             Some(after) => {
-                self.load = Load::Pages { after };
+                self.load_stage = LoadStage::Pages { after };
                 self.read_on(env);
             }
-            None if self.balance.is_some() => {
-                self.load = Load::OpenMoves { after: String::new() };
+            None if self.balancer.is_some() => {
+                self.load_stage = LoadStage::OpenMoves { after: String::new() };
                 self.read_on(env);
             }
             None => self.read_zones(env),
@@ -137,7 +139,7 @@
         page.rows.into_iter().for_each(|item| self.open_moves_read(item));
         match next {
             Some(after) => {
-                self.load = Load::OpenMoves { after };
+                self.load_stage = LoadStage::OpenMoves { after };
                 self.read_on(env);
             }
             None => self.read_zones(env),
@@ -150,29 +152,29 @@
             self.complete_load(env);
             return;
         }
-        self.load = Load::Failover;
+        self.load_stage = LoadStage::Failover;
         self.read_on(env);
     }
 
-    fn watched(&mut self, env: &mut Env, sent: Instant, outcome: Outcome<StoreAnswer>) {
-        self.watching = false;
+    fn watched(&mut self, env: &mut Env, sent: Instant, outcome: Outcome<StoreResponse>) {
+        self.watch_pending = false;
         match outcome {
-            Outcome::Answered(StoreAnswer::Changes(changes)) => {
-                self.view_grew(sent);
-                self.watch_from = changes.revision;
+            Outcome::Responded(StoreResponse::Changes(changes)) => {
+                self.note_cancellations_known(sent);
+                self.watch_revision = changes.revision;
                 for event in changes.events {
                     if let Event::Put { key, value, version } = event {
-                        self.live_changed(env, &key, value, version);
+                        self.apply_live_record(env, &key, value, version);
                     }
                 }
                 self.watch(env);
             }
-            Outcome::Answered(StoreAnswer::TooOld) => {
+            Outcome::Responded(StoreResponse::Compacted) => {
                 // What is read again is merged into what is known.
-                self.load = Load::Jobs { after: String::new() };
+                self.load_stage = LoadStage::Jobs { after: String::new() };
                 self.read_on(env);
             }
-            _ => self.retry = Some(env.steady() + RETRY),
+            _ => self.retry_at = Some(env.steady() + RETRY),
         }
     }
 
@@ -209,8 +211,8 @@
 
     /// All is read: the tables are put together, and the leader begins to act.
     fn complete_load(&mut self, env: &mut Env) {
-        self.load = Load::Ready;
-        self.loaded = true;
+        self.load_stage = LoadStage::Ready;
+        self.load_complete = true;
         let addresses = self.adopt_records(env.steady());
         self.hold_places(env.steady(), &addresses);
         self.adopt_moves(env);
@@ -222,15 +224,15 @@
             if self.jobs[&name].cancelled {
                 self.job_cancelled(env, &name);
             }
-            self.after_change(&name);
+            self.close_if_over(&name);
         }
-        self.inherited = !self.machines.is_empty();
+        self.machines_inherited = !self.machines.is_empty();
         let places: usize = self.jobs.values().map(|j| j.places.len()).sum();
         tracing::info!(jobs = self.jobs.len(), places, machines = self.machines.len(), "records read");
         // Machines that hold services are shown the token at once.
         let hosts: Vec<Name> = self.machines.values().filter(|m| m.hosts_service()).map(|m| m.name.clone()).collect();
         hosts.iter().for_each(|name| self.call_soon(name));
-        self.place_due = true;
+        self.scheduling_due = true;
         self.watch(env);
     }
 
@@ -242,7 +244,7 @@
             match self.jobs.get_mut(&id) {
                 Some(job) => job.adopt_page(page, version, &record, now),
                 // Its job is over; the page was left when the leader changed.
-                None => self.records.drop_key(page_key(&id, page)),
+                None => self.records.delete_key(page_key(&id, page)),
             }
             addresses.extend(record.machines);
         }
@@ -257,7 +259,7 @@
                     tasks.extend(named.map(|task| (job.id.clone(), *task)));
                 }
             }
-            self.records.inherit(number, version, tasks);
+            self.records.add_inherited_segment(number, version, tasks);
             addresses.extend(record.machines);
         }
         addresses
@@ -277,7 +279,7 @@
                 });
                 machine.hold((id.clone(), *task), &job.spec);
                 self.quotas.add(&job.spec);
-                if let Some(balancer) = &mut self.balance {
+                if let Some(balancer) = &mut self.balancer {
                     let team = Name::from(job.spec.team.as_str());
                     balancer.placed(now, &(id.clone(), *task), name, &team, Room::of(&job.spec));
                 }
@@ -285,7 +287,7 @@
         }
     }
 
-    fn live_changed(&mut self, env: &mut Env, key: &str, value: serde_json::Value, version: u64) {
+    fn apply_live_record(&mut self, env: &mut Env, key: &str, value: serde_json::Value, version: u64) {
         let Some(id) = key.strip_prefix(LIVE) else {
             return;
         };
@@ -320,14 +322,14 @@
                 let job = Job::new(record.spec, record.at_ms, version, record.cancelled);
                 self.jobs.insert(name.clone(), job);
                 // While all is read for the first time, what it awaits may come later.
-                if self.loaded {
+                if self.load_complete {
                     self.link(env, &name);
                 }
             }
         }
         if self.ready() {
-            self.after_change(&name);
-            self.place_due = true;
+            self.close_if_over(&name);
+            self.scheduling_due = true;
         }
     }
 }
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -48,12 +48,12 @@
     }
 
     /// Takes a report that is to be handed on; false if it cannot be.
-    pub(crate) fn relay(&mut self, req: Req, report: Report, tasks: Box<RawValue>) -> bool {
+    pub(crate) fn relay(&mut self, request_id: RequestId, report: Report, tasks: Box<RawValue>) -> bool {
         if self.relays_to().is_none() {
             return false;
         }
         let digest = digest(&tasks);
-        self.relaying.waiting.push_back(Held { req, report, tasks, digest, full: false });
+        self.relaying.waiting.push_back(Held { request_id, report, tasks, digest, full: false });
         true
     }
 
@@ -68,14 +68,14 @@
         let (Some(token), Some(label)) = (self.relays_to(), self.election.other_holder()) else {
             // The leader changed, perhaps to this node.
             for held in std::mem::take(&mut self.relaying.waiting) {
-                self.report(held.req, held.report, Some(held.tasks));
+                self.report(held.request_id, held.report, Some(held.tasks));
             }
             return;
         };
         // Nothing is gained by gathering more than goes at a time.
         let gathering = self.relaying.waiting.len() < REPORTS;
         let since = self.relaying.sent.map(|sent| now.duration_since(sent));
-        let early = gathering && since.is_some_and(|since| since < self.env.facts.report / GATHER);
+        let early = gathering && since.is_some_and(|since| since < self.env.facts.report_interval / GATHER);
         if early || !self.relaying.under_way.is_empty() || self.relaying.waiting.is_empty() {
             return;
         }
@@ -104,7 +104,7 @@
                     }
                     Err(error) => {
                         tracing::error!(machine = report.machine, %error, "malformed report");
-                        self.env.answer(held.req, Answer::error(400, "loads: malformed"));
+                        self.env.respond(held.request_id, HttpResponse::error(400, "loads: malformed"));
                         continue;
                     }
                 }
@@ -121,12 +121,12 @@
             self.relaying.under_way.push(held);
         }
         if !reports.is_empty() {
-            self.env.relay(label, Relay { token, reports });
+            self.env.relay_reports(label, Relay { token, reports });
         }
     }
 
     /// Reports that another node hands on.
-    pub(crate) fn relay_requested(&mut self, req: Req, relay: Relay) {
+    pub(crate) fn relay_requested(&mut self, request_id: RequestId, relay: Relay) {
         let mut told = RelayResponse::default();
         if self.token().is_some_and(|own| relay.token > own) {
             self.step_down("a peer follows a higher token");
@@ -136,26 +136,26 @@
                 let (report, digest, full) = unpack(relayed);
                 let tasks = if full { Tasks::Listed(digest) } else { Tasks::Digest(digest) };
                 told.answers.push(match self.answer_report(report, tasks) {
-                    ReportOutcome::Answer(Answer { status, body, retry_after_s }) => {
+                    ReportOutcome::Response(HttpResponse { status, body, retry_after_s }) => {
                         Some(RelayAnswer { status, body, retry_after_s })
                     }
                     ReportOutcome::TasksNeeded => None,
-                    ReportOutcome::Elsewhere(_) => break,
+                    ReportOutcome::NotLeader(_) => break,
                 });
             }
         }
         let body = rushyoke_wire::peer::encode(&told);
-        self.env.answer(req, Answer { status: 200, body, retry_after_s: None });
+        self.env.respond(request_id, HttpResponse { status: 200, body, retry_after_s: None });
     }
 
     /// The leader's answers, to be passed back.
-    pub(crate) fn relay_responded(&mut self, call: Call, outcome: Outcome<RelayResponse>) {
+    pub(crate) fn relay_responded(&mut self, call: CallId, outcome: Outcome<RelayResponse>) {
         if self.env.calls.remove(&call).is_none() {
             return;
         }
         let now = self.env.steady();
         let mut answers = match outcome {
-            Outcome::Answered(told) => told.answers.into_iter(),
+            Outcome::Responded(told) => told.answers.into_iter(),
             _ => {
                 self.relaying.paused = self.election.other_token().map(|token| (token, now + PAUSE));
                 Vec::new().into_iter()
@@ -169,14 +169,14 @@
                         let Report { machine, addr, .. } = held.report;
                         self.relaying.told.insert(machine, Told { token, digest: held.digest, addr, at: now });
                     }
-                    self.env.answer(held.req, Answer { status, body, retry_after_s });
+                    self.env.respond(held.request_id, HttpResponse { status, body, retry_after_s });
                 }
                 (Some(None), Some(_)) if !held.full => {
                     self.relaying.waiting.push_front(Held { full: true, ..held });
                 }
                 _ => {
                     // The leader may have taken it, so that it cannot be handed on again.
-                    self.env.answer(held.req, Answer::later(503, "the leader does not answer"));
+                    self.env.respond(held.request_id, HttpResponse::later(503, "the leader does not answer"));
                 }
             }
         }
@@ -184,13 +184,13 @@
 
     /// A busy leader sends some of its own workers to a node with more time, a few at a time,
     /// since a new connection costs as much as several reports.
-    pub(crate) fn hand_over(&mut self) -> Option<Answer> {
+    pub(crate) fn hand_over(&mut self) -> Option<HttpResponse> {
         if self.relaying.moves == 0 || !self.term.as_ref().is_some_and(|term| term.ready()) {
             return None;
         }
         let label = self.idlest_follower()?;
         self.relaying.moves -= 1;
-        Some(Answer::json(421, &Elsewhere { report_to: Some(label) }))
+        Some(HttpResponse::json(421, &Elsewhere { report_to: Some(label) }))
     }
 }
 
--- a/crates/core/src/relay/state.rs
+++ b/crates/core/src/relay/state.rs
@@ -6,15 +6,15 @@
 use rushyoke_wire::worker::Report;
 use serde_json::value::RawValue;
 
-use crate::io::{Answer, Req};
+use crate::io::{HttpResponse, RequestId};
 
 /// What became of a report.
 pub(crate) enum ReportOutcome {
-    Answer(Answer),
+    Response(HttpResponse),
     /// Its tasks changed and were not told.
     TasksNeeded,
     /// This node does not lead.
-    Elsewhere(Report),
+    NotLeader(Report),
 }
 
 /// A report without a list of tasks.
@@ -24,7 +24,7 @@
 
 /// A worker's report that waits to be handed on, or for the leader's answer.
 pub(super) struct Held {
-    pub(super) req: Req,
+    pub(super) request_id: RequestId,
     pub(super) report: Report,
     pub(super) tasks: Box<RawValue>,
     pub(super) digest: u64,
--- a/crates/core/src/rent.rs
+++ b/crates/core/src/rent.rs
@@ -66,7 +66,7 @@
         let now = env.steady();
         self.repeat_rentals(env);
         self.list(env);
-        if !env.types.is_empty() && !self.fleet_unclear(env) {
+        if !env.machine_types.is_empty() && !self.fleet_unclear(env) {
             self.rent_what_is_missing(env);
         }
         self.empty_retiring(env);
@@ -76,13 +76,13 @@
 
     fn list(&mut self, env: &mut Env) {
         let now = env.steady();
-        let period = (env.facts.list_lag / 2).clamp(Duration::from_secs(2), Duration::from_secs(10));
+        let period = (env.facts.cloud_list_lag / 2).clamp(Duration::from_secs(2), Duration::from_secs(10));
         let due = self.renting.listed_at.is_none_or(|t| now.duration_since(t) >= period);
         if due && !self.renting.listing {
             self.renting.listing = true;
             self.renting.listed_at = Some(now);
             let after = self.renting.list_after.clone();
-            env.cloud(Purpose::Rent(RentCall::List), CloudOp::List { after });
+            env.call_cloud(Purpose::Rent(RentCall::List), CloudOp::List { after });
         }
     }
 
@@ -98,7 +98,7 @@
         }
         while !room.is_nothing() && self.renting.calls > 0 {
             let mut options: Vec<(f64, f64, Market)> = Vec::new();
-            for kind in env.types.iter() {
+            for kind in env.machine_types.iter() {
                 let count = machines_of(room, kind);
                 if !count.is_finite() {
                     continue;
@@ -129,7 +129,7 @@
             self.renting.serial += 1;
             let request = format!("r-{}-{}", self.token, self.renting.serial);
             tracing::info!(request, kind, zone, spot, count, "renting");
-            if let Some(kind) = env.type_named(&kind) {
+            if let Some(kind) = env.machine_type(&kind) {
                 let rented = Room { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
                 room = missing(room, rented.scaled(f64::from(count)));
             }
@@ -140,7 +140,7 @@
 
     fn send_rental(&mut self, env: &mut Env, rental: Rental) {
         self.renting.open.push((rental.clone(), env.steady()));
-        env.cloud(Purpose::Rent(RentCall::Rent(rental.clone())), CloudOp::Rent(rental));
+        env.call_cloud(Purpose::Rent(RentCall::Rent(rental.clone())), CloudOp::Rent(rental));
     }
 
     fn repeat_rentals(&mut self, env: &mut Env) {
@@ -155,20 +155,20 @@
     }
 
     /// A call to the cloud has an outcome.
-    pub fn rented(&mut self, env: &mut Env, call: RentCall, outcome: Outcome<CloudAnswer>) {
+    pub fn rented(&mut self, env: &mut Env, call: RentCall, outcome: Outcome<CloudResponse>) {
         match call {
             RentCall::Rent(rental) => self.rental_outcome(env, rental, outcome),
             RentCall::Release(names) => self.release_outcome(env, names, outcome),
             RentCall::List => {
                 self.renting.listing = false;
-                if let Outcome::Answered(CloudAnswer::Listing(listing)) = outcome {
+                if let Outcome::Responded(CloudResponse::Listing(listing)) = outcome {
                     self.take_listing(env, &listing);
                 }
             }
         }
     }
 
-    fn rental_outcome(&mut self, env: &mut Env, rental: Rental, outcome: Outcome<CloudAnswer>) {
+    fn rental_outcome(&mut self, env: &mut Env, rental: Rental, outcome: Outcome<CloudResponse>) {
         let now = env.steady();
         // Unanswered: it may have been carried out, so it is repeated by name.
         if matches!(outcome, Outcome::Unknown) {
@@ -179,8 +179,8 @@
         let answered_before = self.renting.open.len() == asked;
         let market = (rental.kind.clone(), rental.zone.clone(), rental.spot);
         match outcome {
-            Outcome::Answered(CloudAnswer::Rented(_)) if answered_before => {}
-            Outcome::Answered(CloudAnswer::Rented(names)) => {
+            Outcome::Responded(CloudResponse::Rented(_)) if answered_before => {}
+            Outcome::Responded(CloudResponse::Rented(names)) => {
                 if (names.len() as u32) < rental.count {
                     self.renting.refused.insert(market, now + REFUSED_FOR);
                 }
@@ -188,7 +188,7 @@
                 self.zones.insert(rental.zone.clone());
                 self.expect_machines(env, &rental, names);
             }
-            Outcome::Answered(CloudAnswer::NoCapacity) => {
+            Outcome::Responded(CloudResponse::NoCapacity) => {
                 tracing::info!(kind = rental.kind, zone = rental.zone, spot = rental.spot, "no capacity");
                 self.renting.refused.insert(market, now + REFUSED_FOR);
             }
@@ -200,7 +200,7 @@
 
     /// Machines that were rented will come up.
     fn expect_machines(&mut self, env: &Env, rental: &Rental, names: Vec<String>) {
-        let Some(kind) = env.type_named(&rental.kind) else { return };
+        let Some(kind) = env.machine_type(&rental.kind) else { return };
         for name in names {
             let name = Name::from(name.as_str());
             let machine = || Machine::rented(name.clone(), kind, &rental.zone, rental.spot, env.steady());
@@ -208,9 +208,9 @@
         }
     }
 
-    fn release_outcome(&mut self, env: &mut Env, names: Vec<Name>, outcome: Outcome<CloudAnswer>) {
+    fn release_outcome(&mut self, env: &mut Env, names: Vec<Name>, outcome: Outcome<CloudResponse>) {
         self.renting.return_open = false;
-        if matches!(outcome, Outcome::Answered(CloudAnswer::Released)) {
+        if matches!(outcome, Outcome::Responded(CloudResponse::Released)) {
             for name in names {
                 tracing::info!(machine = &*name, "returned");
                 self.machine_gone(env, &name);
--- a/crates/core/src/rent/demand.rs
+++ b/crates/core/src/rent/demand.rs
@@ -92,7 +92,7 @@
         let supply = self.supply(env);
         self.rent_bound(env, &mut demand, &supply);
         let policy = env.policy.clone();
-        let largest = env.types.iter().map(|t| t.cpus).fold(0.0, f64::max);
+        let largest = env.machine_types.iter().map(|t| t.cpus).fold(0.0, f64::max);
         let headroom = (supply.in_use * policy.headroom_share).max(policy.headroom_machines * largest);
         demand.ordinary.cpus += self.renting.service_reserve(env);
         if !self.jobs.is_empty() {
@@ -178,7 +178,7 @@
         let now = env.steady();
         let mut supply = Supply::default();
         for machine in self.machines.values().filter(|m| m.counts()) {
-            let boot = env.type_named(&machine.kind).map_or(UNKNOWN_BOOT_S, |k| k.boot_s);
+            let boot = env.machine_type(&machine.kind).map_or(UNKNOWN_BOOT_S, |k| k.boot_s);
             let late = !machine.up && now.duration_since(machine.known).as_secs_f64() > boot * LATE_BOOT;
             // One that is known from a record only has room, but how much?
             if late || machine.kind.is_empty() {
@@ -188,7 +188,7 @@
             supply.add(&machine.zone, machine.spot, machine.total.minus(machine.used));
         }
         for (rental, _) in &self.renting.open {
-            if let Some(kind) = env.type_named(&rental.kind) {
+            if let Some(kind) = env.machine_type(&rental.kind) {
                 let room = Room { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
                 supply.add(&rental.zone, rental.spot, room.scaled(f64::from(rental.count)));
             }
--- a/crates/core/src/rent/returns.rs
+++ b/crates/core/src/rent/returns.rs
@@ -21,7 +21,7 @@
     /// waits and what is kept free would fit. `need` counts CPUs.
     pub(super) fn retire(&mut self, env: &mut Env, need: f64) {
         let now = env.steady();
-        let window = env.policy.idle;
+        let window = env.policy.idle_timeout;
         self.renting.needs.push_back((now, need));
         while self.renting.needs.front().is_some_and(|(t, _)| now.duration_since(*t) > window) {
             self.renting.needs.pop_front();
@@ -170,7 +170,7 @@
     pub(super) fn return_idle(&mut self, env: &mut Env, now: Instant) {
         let mut lost = Vec::new();
         for machine in self.machines.values() {
-            let boot = env.type_named(&machine.kind).map_or(60.0, |k| k.boot_s.max(1.0));
+            let boot = env.machine_type(&machine.kind).map_or(60.0, |k| k.boot_s.max(1.0));
             let age = now.duration_since(machine.known).as_secs_f64();
             if machine.leaving {
                 if machine.release_sent.is_none() {
@@ -235,7 +235,7 @@
         }
         renting.return_open = true;
         let list = names.iter().map(|n| n.to_string()).collect();
-        env.cloud(Purpose::Rent(RentCall::Release(names)), CloudOp::Release(list));
+        env.call_cloud(Purpose::Rent(RentCall::Release(names)), CloudOp::Release(list));
     }
 }
 
--- a/crates/core/src/speculate.rs
+++ b/crates/core/src/speculate.rs
@@ -46,7 +46,7 @@
         let levels = self.relevel(env);
         let mut cells: HashMap<Name, Vec<Option<Cell>>> = HashMap::new();
         for job in self.speculation.finished.keys() {
-            cells.insert(job.clone(), self.speculation.cells(job, levels, policy.cell_minimum));
+            cells.insert(job.clone(), self.speculation.cells(job, levels, policy.min_cell_tasks));
         }
         self.mark_stragglers(now, &cells, policy.straggler_threshold);
         let choices = self.candidates(env, &cells, levels);
@@ -81,7 +81,7 @@
         }
         let names: Vec<Name> = vectors.keys().cloned().collect();
         let points: Vec<Performance> = vectors.into_values().collect();
-        let found = levels(&points, env.policy.levels, &mut env.rng);
+        let found = levels(&points, env.policy.max_levels, &mut env.rng);
         let count = found.iter().max().map_or(1, |l| l + 1);
         self.speculation.levels = names.into_iter().zip(found).collect();
         for machine in self.machines.values_mut() {
--- a/crates/core/src/spread.rs
+++ b/crates/core/src/spread.rs
@@ -38,7 +38,7 @@
     let settled = machine.in_open_zone() && !machine.zone_unhealthy;
     settled
         && machine.usable(now)
-        && machine.reports_to_us(now, env.facts.report)
+        && machine.reports_to_us(now, env.facts.report_interval)
         && !machine.retiring
         && !machine.straggler
 }
@@ -143,13 +143,13 @@
     /// A task has a place.
     pub fn task_placed(&mut self, now: Instant, key: &TaskKey, machine: &Name) {
         let spec = &self.jobs[&key.0].spec;
-        let Some(balancer) = &mut self.balance else { return };
+        let Some(balancer) = &mut self.balancer else { return };
         balancer.placed(now, key, machine, &Name::from(spec.team.as_str()), Room::of(spec));
     }
 
     /// A worker reports a task in another state.
     pub fn move_seen(&mut self, now: Instant, key: &TaskKey, state: TaskState) {
-        let Some(balancer) = &mut self.balance else { return };
+        let Some(balancer) = &mut self.balancer else { return };
         match state {
             TaskState::Running => {
                 let ended = balancer.running(key);
@@ -163,15 +163,15 @@
     /// A task has left its place; `waits` if it cannot start again at once.
     pub fn task_left(&mut self, now: Instant, key: &TaskKey, waits: bool) {
         let ended = waits || self.jobs.get(&key.0).is_none_or(|job| job.cancelled || job.is_done(key.1));
-        let Some(balancer) = &mut self.balance else { return };
+        let Some(balancer) = &mut self.balancer else { return };
         let ended = balancer.left(now, key, ended);
-        self.vacated_due = true;
+        self.vacated_tasks_due = true;
         self.move_ended(ended);
     }
 
     /// A machine is gone: what was on its way there goes elsewhere.
     pub fn destination_gone(&mut self, name: &Name) {
-        let Some(balancer) = &mut self.balance else { return };
+        let Some(balancer) = &mut self.balancer else { return };
         for key in balancer.machine_gone(name) {
             self.give_up_move(&key, GiveUp::DestinationGone);
         }
@@ -179,7 +179,7 @@
 
     /// A job is cancelled: its moves end.
     pub fn moves_cancelled(&mut self, job: &Name) {
-        let Some(balancer) = &self.balance else { return };
+        let Some(balancer) = &self.balancer else { return };
         for key in balancer.moves().of_job(job) {
             self.give_up_move(&key, GiveUp::JobCancelled);
         }
@@ -190,14 +190,14 @@
     /// Whether a team that is beyond its guarantee may have one more task of the job placed.
     pub fn may_borrow(&mut self, now: Instant, name: &Name) -> bool {
         let job = &self.jobs[name];
-        let Some(balancer) = &mut self.balance else { return true };
+        let Some(balancer) = &mut self.balancer else { return true };
         let need = Room::of(&job.spec);
         balancer.may_place(now, &Borrow { job: name, team: &job.spec.team, need, run_s: job.mean_run_s })
     }
 
     /// Whether a team has more than its fair share of the fleet.
     pub fn over_fair_share(&self, team: &str) -> bool {
-        self.balance.as_ref().is_some_and(|balancer| balancer.shares().weighted_share(balancer.load(), team) > 1.0)
+        self.balancer.as_ref().is_some_and(|balancer| balancer.shares().weighted_share(balancer.load(), team) > 1.0)
     }
 
     /// Free room on a machine for a job, by the bookings of a balancer that is taken out of the term.
@@ -208,7 +208,7 @@
     /// Once a second: the balancer learns which machines take work, and moves begin that pay.
     pub fn spread_tick(&mut self, env: &mut Env) {
         let now = env.steady();
-        let Some(mut balancer) = self.balance.take() else { return };
+        let Some(mut balancer) = self.balancer.take() else { return };
         for machine in self.machines.values() {
             let claimed = machine.claim.as_ref().filter(|claim| claim.made).map(|claim| claim.room);
             let info = MachineInfo {
@@ -227,17 +227,17 @@
         {
             self.begin_moves(env, &mut balancer);
         }
-        if now.duration_since(self.summarized.unwrap_or(self.since)) >= SUMMARY_PERIOD {
-            self.summarized = Some(now);
+        if now.duration_since(self.last_summary_at.unwrap_or(self.started_at)) >= SUMMARY_PERIOD {
+            self.last_summary_at = Some(now);
             tracing::info!("balance: {}", balancer.summary());
         }
-        self.balance = Some(balancer);
+        self.balancer = Some(balancer);
         overdue.iter().for_each(|key| self.give_up_move(key, GiveUp::TimedOut));
-        self.vacated_due = true;
+        self.vacated_tasks_due = true;
     }
 
     fn give_up_move(&mut self, key: &TaskKey, reason: GiveUp) {
-        let ended = self.balance.as_mut().and_then(|balancer| balancer.give_up(key, reason));
+        let ended = self.balancer.as_mut().and_then(|balancer| balancer.give_up(key, reason));
         self.move_ended(ended);
     }
 
@@ -254,7 +254,7 @@
             && let Some(job) = self.jobs.get_mut(name)
             && job.restarted.remove(task)
         {
-            self.records.changed(open.key.clone(), None);
+            self.records.mark_changed(open.key.clone(), None);
         }
     }
 
@@ -282,7 +282,7 @@
             // The mark is written beside the booking: whoever leads next, the task is moved once.
             let job = self.jobs.get_mut(&key.0).expect("a candidate");
             job.restarted.insert(key.1);
-            self.records.changed(key.clone(), None);
+            self.records.mark_changed(key.clone(), None);
         }
     }
 
@@ -293,7 +293,7 @@
         part: usize,
         durable_with: impl Fn(&TaskKey) -> bool,
     ) -> Option<(OpenMoves, Vec<(TaskKey, u64)>)> {
-        let balancer = self.balance.as_mut()?;
+        let balancer = self.balancer.as_mut()?;
         if balancer.moves().in_part(part).any(|open| !durable_with(&open.key)) {
             return None;
         }
@@ -305,12 +305,12 @@
 
     /// Values of the record of open moves that must be written.
     pub fn moves_unwritten(&self) -> Vec<usize> {
-        self.balance.as_ref().map(|balancer| balancer.moves().unwritten()).unwrap_or_default()
+        self.balancer.as_ref().map(|balancer| balancer.moves().unwritten()).unwrap_or_default()
     }
 
     /// A write of values of the record failed, or is in doubt.
     pub fn moves_not_written(&mut self, parts: &[usize]) {
-        if let Some(balancer) = &mut self.balance {
+        if let Some(balancer) = &mut self.balancer {
             parts.iter().for_each(|part| balancer.record_is_stale(*part));
         }
     }
@@ -324,7 +324,7 @@
 
     fn stop_for_move(&mut self, env: &mut Env, key: &TaskKey, attempt: u64) {
         let now = env.steady();
-        let Some(balancer) = &self.balance else { return };
+        let Some(balancer) = &self.balancer else { return };
         let Some(to) = balancer.moves().get(key).filter(|open| open.attempt == attempt).map(|open| open.to.clone())
         else {
             return;
@@ -347,7 +347,7 @@
             self.give_up_move(key, reason);
             return;
         }
-        if self.balance.as_mut().is_some_and(|balancer| balancer.durable(now, key, attempt)) {
+        if self.balancer.as_mut().is_some_and(|balancer| balancer.durable(now, key, attempt)) {
             let spec = &self.jobs[&key.0].spec;
             let grace = if spec.checkpoint_s > 0.0 { spec.save_s } else { 0.0 };
             self.stop_task(env, &key.0, key.1, grace);
@@ -361,10 +361,10 @@
 
     /// Gives vacated tasks their new places, before anything else can take the room or their team's part.
     pub fn place_vacated(&mut self, env: &Env) {
-        if !std::mem::take(&mut self.vacated_due) {
+        if !std::mem::take(&mut self.vacated_tasks_due) {
             return;
         }
-        let Some(balancer) = &self.balance else { return };
+        let Some(balancer) = &self.balancer else { return };
         let vacated: Vec<Move> =
             balancer.moves().open().filter(|open| open.state == MoveState::Vacated).cloned().collect();
         for open in vacated {
@@ -390,7 +390,7 @@
         };
         if let Some(reason) = reason {
             self.give_up_move(&open.key, reason);
-            self.place_due = true;
+            self.scheduling_due = true;
             return;
         }
         self.plan(name, *task, &open.to, now);
@@ -422,7 +422,7 @@
         if taken + dropped > 0 {
             tracing::info!(taken, dropped, "open moves of an earlier leader");
         }
-        self.vacated_due = true;
+        self.vacated_tasks_due = true;
     }
 
     fn adopt_move(&mut self, env: &Env, part: usize, open: &OpenMove) -> bool {
@@ -438,7 +438,7 @@
             job.put_back(open.task, now + KNOWN_SOON);
         }
         let need = Room::of(&job.spec);
-        if let Some(balancer) = &mut self.balance {
+        if let Some(balancer) = &mut self.balancer {
             balancer.adopt(now, open, part, need, vacated);
         }
         true
--- a/crates/core/src/users.rs
+++ b/crates/core/src/users.rs
@@ -25,20 +25,20 @@
 const QUERY_LIMIT: Duration = Duration::from_millis(1600);
 const CHANGE_LIMIT: Duration = Duration::from_millis(4000);
 
-fn store_unsure() -> Answer {
-    Answer::later(503, "the state service did not answer")
+fn store_unsure() -> HttpResponse {
+    HttpResponse::later(503, "the state service did not answer")
 }
 
 impl Node {
     /// Takes a request among those that wait, or turns it away at once.
-    fn open(&mut self, request: Req, limit: Duration) -> bool {
+    fn open(&mut self, request: RequestId, limit: Duration) -> bool {
         let now = self.env.steady();
-        if self.store.down(now) {
-            self.env.answer(request, Answer::later(503, "the state service does not answer"));
+        if self.store_health.is_down(now) {
+            self.env.respond(request, HttpResponse::later(503, "the state service does not answer"));
             return false;
         }
         if self.users.open.len() >= WAITING {
-            self.env.answer(request, Answer::later(429, "too many requests at once"));
+            self.env.respond(request, HttpResponse::later(429, "too many requests at once"));
             return false;
         }
         self.users.open.insert(request, now + limit);
@@ -46,16 +46,16 @@
     }
 
     /// Answers a request unless that was done before.
-    fn close(&mut self, request: Req, answer: Answer) {
+    fn close(&mut self, request: RequestId, answer: HttpResponse) {
         if self.users.open.remove(&request).is_some() {
-            self.env.answer(request, answer);
+            self.env.respond(request, answer);
         }
     }
 
-    pub(crate) fn status(&mut self, request: Req, id: String) {
+    pub(crate) fn status(&mut self, request: RequestId, id: String) {
         if let Some(known) = self.users.end_of(&id) {
             let answer = self.view(&id, &known);
-            self.env.answer(request, answer);
+            self.env.respond(request, answer);
             return;
         }
         if self.open(request, QUERY_LIMIT) {
@@ -72,7 +72,7 @@
                 if state != RecordState::Open {
                     self.users.progress.remove(id);
                 }
-                self.users.known.insert(id, known.clone(), self.env.policy.known_jobs);
+                self.users.known.insert(id, known.clone(), self.env.policy.job_cache_size);
                 Some(known)
             }
             Err(error) => {
@@ -82,7 +82,7 @@
         }
     }
 
-    pub(crate) fn user_outcome(&mut self, call: UserCall, outcome: Outcome<StoreAnswer>) {
+    pub(crate) fn user_outcome(&mut self, call: UserCall, outcome: Outcome<StoreResponse>) {
         match call {
             UserCall::Compare { jobs } => self.compared(jobs, outcome),
             UserCall::Read { job, requests } => self.read_outcome(job, requests, outcome),
@@ -98,11 +98,16 @@
     /// A request that takes too long is answered while its user still listens.
     pub(crate) fn users_tick(&mut self) {
         let now = self.env.steady();
-        let down = self.store.down(now);
-        let late: Vec<Req> =
-            self.users.open.iter().filter(|(_, until)| down || **until <= now).map(|(req, _)| *req).collect();
-        for req in late {
-            self.close(req, Answer::later(503, "the state service did not answer in time"));
+        let down = self.store_health.is_down(now);
+        let late: Vec<RequestId> = self
+            .users
+            .open
+            .iter()
+            .filter(|(_, until)| down || **until <= now)
+            .map(|(request_id, _)| *request_id)
+            .collect();
+        for request_id in late {
+            self.close(request_id, HttpResponse::later(503, "the state service did not answer in time"));
         }
     }
 }
--- a/crates/core/src/users/cancel.rs
+++ b/crates/core/src/users/cancel.rs
@@ -10,10 +10,10 @@
 use crate::node::Node;
 
 impl Node {
-    pub(crate) fn cancel(&mut self, request: Req, id: String) {
+    pub(crate) fn cancel(&mut self, request: RequestId, id: String) {
         if let Some(known) = self.users.end_of(&id) {
             let answer = self.view(&id, &known);
-            self.env.answer(request, answer);
+            self.env.respond(request, answer);
             return;
         }
         if self.open(request, CHANGE_LIMIT) {
@@ -21,23 +21,23 @@
         }
     }
 
-    fn read_to_cancel(&mut self, request: Req, job: String) {
+    fn read_to_cancel(&mut self, request: RequestId, job: String) {
         let op = StoreOp::Get(live_key(&job));
-        self.env.store(Purpose::User(UserCall::CancelRead { request, job }), Urgency::High, op);
+        self.env.call_store(Purpose::User(UserCall::CancelRead { request, job }), Urgency::High, op);
     }
 
-    pub(super) fn cancel_read(&mut self, request: Req, job: String, outcome: Outcome<StoreAnswer>) {
+    pub(super) fn cancel_read(&mut self, request: RequestId, job: String, outcome: Outcome<StoreResponse>) {
         match outcome {
-            Outcome::Answered(StoreAnswer::Item(Some(item))) => self.write_cancellation(request, job, item),
+            Outcome::Responded(StoreResponse::Item(Some(item))) => self.write_cancellation(request, job, item),
             // Not live: over, or never accepted.
-            Outcome::Answered(StoreAnswer::Item(None)) => self.look_up(request, job),
+            Outcome::Responded(StoreResponse::Item(None)) => self.look_up(request, job),
             _ => self.close(request, store_unsure()),
         }
     }
 
-    fn write_cancellation(&mut self, request: Req, job: String, item: Item) {
+    fn write_cancellation(&mut self, request: RequestId, job: String, item: Item) {
         let Ok(mut live) = serde_json::from_value::<LiveRecord>(item.value) else {
-            self.close(request, Answer::later(503, "the job's record cannot be read"));
+            self.close(request, HttpResponse::later(503, "the job's record cannot be read"));
             return;
         };
         if live.cancelled {
@@ -61,18 +61,24 @@
             .put(job_key(&job), serde_json::to_value(record).expect("records always encode"))
             .put(live_key(&job), value);
         let call = UserCall::CancelWrite { request, job, tasks };
-        self.env.store(Purpose::User(call), Urgency::High, StoreOp::Txn(txn));
+        self.env.call_store(Purpose::User(call), Urgency::High, StoreOp::Txn(txn));
     }
 
-    pub(super) fn cancel_written(&mut self, request: Req, job: String, tasks: u32, outcome: Outcome<StoreAnswer>) {
+    pub(super) fn cancel_written(
+        &mut self,
+        request: RequestId,
+        job: String,
+        tasks: u32,
+        outcome: Outcome<StoreResponse>,
+    ) {
         match outcome {
-            Outcome::Answered(StoreAnswer::Committed(version)) => {
+            Outcome::Responded(StoreResponse::Committed(version)) => {
                 let known = Known::over(RecordState::Cancelled, tasks, version);
-                self.users.known.insert(&job, known.clone(), self.env.policy.known_jobs);
+                self.users.known.insert(&job, known.clone(), self.env.policy.job_cache_size);
                 self.users.progress.remove(&job);
                 self.found(&job, Some(known), vec![request]);
             }
-            Outcome::Answered(StoreAnswer::Refused(_)) => {
+            Outcome::Responded(StoreResponse::ConditionsFailed(_)) => {
                 // It changed in between; look once more while the user waits.
                 if self.users.open.contains_key(&request) {
                     self.read_to_cancel(request, job);
--- a/crates/core/src/users/lookup.rs
+++ b/crates/core/src/users/lookup.rs
@@ -24,13 +24,13 @@
 const READ_AT_ONCE: usize = 32;
 
 impl Node {
-    pub(super) fn look_up(&mut self, request: Req, job: String) {
+    pub(super) fn look_up(&mut self, request: RequestId, job: String) {
         self.users.lookups.push(job, [request]);
         self.begin_round();
     }
 
     /// Looks a job up again for those of its requests that still wait.
-    fn look_up_again(&mut self, job: String, mut requests: Vec<Req>) {
+    fn look_up_again(&mut self, job: String, mut requests: Vec<RequestId>) {
         requests.retain(|request| self.users.open.contains_key(request));
         if !requests.is_empty() {
             self.users.lookups.push(job, requests);
@@ -51,7 +51,7 @@
             let txn = self.compare(jobs);
             round.outstanding += 1;
             let call = UserCall::Compare { jobs: jobs.to_vec() };
-            self.env.store(Purpose::User(call), Urgency::High, StoreOp::Txn(txn));
+            self.env.call_store(Purpose::User(call), Urgency::High, StoreOp::Txn(txn));
         }
         self.users.lookups.round = Some(round);
     }
@@ -94,13 +94,13 @@
     }
 
     /// A transaction of the round has an outcome.
-    pub(super) fn compared(&mut self, jobs: Vec<String>, outcome: Outcome<StoreAnswer>) {
+    pub(super) fn compared(&mut self, jobs: Vec<String>, outcome: Outcome<StoreResponse>) {
         let Some(round) = &mut self.users.lookups.round else { return };
         round.outstanding -= 1;
         match outcome {
-            Outcome::Answered(StoreAnswer::Committed(_)) => round.unchanged.extend(jobs),
+            Outcome::Responded(StoreResponse::Committed(_)) => round.unchanged.extend(jobs),
             // It may not name every key that failed; those that it does not name are compared again.
-            Outcome::Answered(StoreAnswer::Refused(failed)) => {
+            Outcome::Responded(StoreResponse::ConditionsFailed(failed)) => {
                 round.changed.extend(jobs.into_iter().filter(|job| failed.contains(&job_key(job))));
             }
             _ => round.unanswered = true,
@@ -144,14 +144,14 @@
         for job in stale.into_iter().take(READ_AT_ONCE) {
             refresh.outstanding += 1;
             let op = StoreOp::Get(job_key(&job));
-            self.env.store(Purpose::User(UserCall::Refresh { job, group }), Urgency::High, op);
+            self.env.call_store(Purpose::User(UserCall::Refresh { job, group }), Urgency::High, op);
         }
         self.users.lookups.refreshes.insert(group, refresh);
     }
 
-    pub(super) fn refreshed(&mut self, job: &str, group: u64, outcome: Outcome<StoreAnswer>) {
+    pub(super) fn refreshed(&mut self, job: &str, group: u64, outcome: Outcome<StoreResponse>) {
         let learned = match outcome {
-            Outcome::Answered(StoreAnswer::Item(Some(item))) => self.learn_item(job, item).is_some(),
+            Outcome::Responded(StoreResponse::Item(Some(item))) => self.learn_item(job, item).is_some(),
             _ => false,
         };
         let Some(refresh) = self.users.lookups.refreshes.get_mut(&group) else { return };
@@ -171,15 +171,15 @@
         self.begin_round();
     }
 
-    fn read(&mut self, job: String, requests: Vec<Req>) {
+    fn read(&mut self, job: String, requests: Vec<RequestId>) {
         let op = StoreOp::Get(job_key(&job));
-        self.env.store(Purpose::User(UserCall::Read { job, requests }), Urgency::High, op);
+        self.env.call_store(Purpose::User(UserCall::Read { job, requests }), Urgency::High, op);
     }
 
-    pub(super) fn read_outcome(&mut self, job: String, requests: Vec<Req>, outcome: Outcome<StoreAnswer>) {
+    pub(super) fn read_outcome(&mut self, job: String, requests: Vec<RequestId>, outcome: Outcome<StoreResponse>) {
         match outcome {
-            Outcome::Answered(StoreAnswer::Item(None)) => self.found(&job, None, requests),
-            Outcome::Answered(StoreAnswer::Item(Some(item))) => match self.learn_item(&job, item) {
+            Outcome::Responded(StoreResponse::Item(None)) => self.found(&job, None, requests),
+            Outcome::Responded(StoreResponse::Item(Some(item))) => match self.learn_item(&job, item) {
                 Some(known) => self.learned(job, known, requests),
                 None => self.fail_requests(requests),
             },
@@ -188,7 +188,7 @@
     }
 
     /// A record was read while the requests waited. What it needs may be cancelled.
-    pub(super) fn learned(&mut self, job: String, known: Known, requests: Vec<Req>) {
+    pub(super) fn learned(&mut self, job: String, known: Known, requests: Vec<RequestId>) {
         if known.awaits.is_empty() {
             self.found(&job, Some(known), requests);
         } else {
@@ -199,7 +199,7 @@
 
     /// Answers requests that came before the job's state, which was found, was looked up. What
     /// is known since may be newer.
-    pub(super) fn found(&mut self, id: &str, found: Option<Known>, requests: Vec<Req>) {
+    pub(super) fn found(&mut self, id: &str, found: Option<Known>, requests: Vec<RequestId>) {
         let all = self.users.known.get(id).cloned().into_iter().chain(found);
         let newest = all.max_by_key(|known| (known.version, known.state != RecordState::Open));
         let answer = match newest {
@@ -207,21 +207,21 @@
                 let known = self.users.conclude(id, known);
                 self.view(id, &known)
             }
-            None => Answer::error(404, "no such job"),
+            None => HttpResponse::error(404, "no such job"),
         };
         for request in requests {
             self.close(request, answer.clone());
         }
     }
 
-    pub(super) fn fail_requests(&mut self, requests: Vec<Req>) {
+    pub(super) fn fail_requests(&mut self, requests: Vec<RequestId>) {
         for request in requests {
             self.close(request, store_unsure());
         }
     }
 
     /// What a user is told of a job.
-    pub(super) fn view(&self, id: &str, known: &Known) -> Answer {
+    pub(super) fn view(&self, id: &str, known: &Known) -> HttpResponse {
         let (done, running) = match (known.state, self.term.as_ref().and_then(|term| term.jobs.get(id))) {
             (RecordState::Done, _) => (known.tasks, 0),
             (_, Some(job)) => (job.done_count, job.running),
@@ -234,6 +234,6 @@
             RecordState::Open => JobStatus::Queued,
         };
         let awaits = known.awaits.iter().filter(|dependency| !self.users.known.is_done(dependency)).cloned().collect();
-        Answer::json(200, &JobView { id: id.to_owned(), state, done: Some(done), running: Some(running), awaits })
+        HttpResponse::json(200, &JobView { id: id.to_owned(), state, done: Some(done), running: Some(running), awaits })
     }
 }
--- a/crates/core/src/users/lookups.rs
+++ b/crates/core/src/users/lookups.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use super::known::Known;
-use crate::io::Req;
+use crate::io::RequestId;
 
 /// A job whose cached state is compared, and the requests that wait for it. The state is kept here,
 /// since the cache may lose it meanwhile.
@@ -13,7 +13,7 @@
     pub(super) known: Option<Known>,
     /// Open jobs that it needs, directly or through others.
     pub(super) ancestors: Vec<String>,
-    pub(super) requests: Vec<Req>,
+    pub(super) requests: Vec<RequestId>,
 }
 
 /// Lookups whose keys are compared together, in as many transactions as they take.
@@ -34,7 +34,7 @@
 #[derive(Debug, Default)]
 pub(super) struct Refresh {
     pub(super) outstanding: usize,
-    pub(super) lookups: Vec<(String, Vec<Req>)>,
+    pub(super) lookups: Vec<(String, Vec<RequestId>)>,
     pub(super) failed: bool,
 }
 
@@ -42,7 +42,7 @@
 #[derive(Default)]
 pub(super) struct Lookups {
     /// Requests by job, for the next round.
-    pub(super) requests: BTreeMap<String, Vec<Req>>,
+    pub(super) requests: BTreeMap<String, Vec<RequestId>>,
     /// The same jobs in the order in which they came.
     pub(super) queue: VecDeque<String>,
     pub(super) round: Option<Round>,
@@ -51,7 +51,7 @@
 }
 
 impl Lookups {
-    pub(super) fn push(&mut self, job: String, requests: impl IntoIterator<Item = Req>) {
+    pub(super) fn push(&mut self, job: String, requests: impl IntoIterator<Item = RequestId>) {
         let waiting = self.requests.entry(job.clone()).or_default();
         if waiting.is_empty() {
             self.queue.push_back(job);
--- a/crates/core/src/users/state.rs
+++ b/crates/core/src/users/state.rs
@@ -7,7 +7,7 @@
 
 use super::known::{Ancestors, Known, KnownJobs};
 use super::lookups::Lookups;
-use crate::io::Req;
+use crate::io::RequestId;
 use crate::jobs::RecordState;
 
 /// A node's side of users' requests.
@@ -20,7 +20,7 @@
     /// The leader holds as many unfinished jobs as it can.
     pub full: bool,
     /// Requests not yet answered, and when to give up on them.
-    pub(super) open: BTreeMap<Req, Instant>,
+    pub(super) open: BTreeMap<RequestId, Instant>,
 }
 
 impl Users {
--- a/crates/core/src/users/submit.rs
+++ b/crates/core/src/users/submit.rs
@@ -26,10 +26,10 @@
 const CANCELLATION_BYTES: usize = 16;
 
 impl Node {
-    pub(crate) fn submit(&mut self, request: Req, spec: JobSpec) {
+    pub(crate) fn submit(&mut self, request: RequestId, spec: JobSpec) {
         if let Some(known) = self.users.end_of(&spec.id) {
             let answer = self.view(&spec.id, &known);
-            self.env.answer(request, answer);
+            self.env.respond(request, answer);
             return;
         }
         if self.users.known.contains(&spec.id) {
@@ -38,8 +38,8 @@
             }
             return;
         }
-        if self.env.types.is_empty() {
-            self.env.answer(request, Answer::later(503, "machine types are not known yet"));
+        if self.env.machine_types.is_empty() {
+            self.env.respond(request, HttpResponse::later(503, "machine types are not known yet"));
             return;
         }
         if !self.open(request, CHANGE_LIMIT) {
@@ -65,22 +65,22 @@
         // It succeeds if none of them exists, and else names those that do.
         let txn = asked.iter().fold(Txn::default(), |txn, id| txn.when(job_key(id), 0));
         let call = UserCall::Dependencies { admission, asked };
-        self.env.store(Purpose::User(call), Urgency::High, StoreOp::Txn(txn));
+        self.env.call_store(Purpose::User(call), Urgency::High, StoreOp::Txn(txn));
     }
 
     pub(super) fn dependencies_outcome(
         &mut self,
         mut admission: Admission,
         asked: Vec<String>,
-        outcome: Outcome<StoreAnswer>,
+        outcome: Outcome<StoreResponse>,
     ) {
         let request = admission.request;
         match outcome {
-            Outcome::Answered(StoreAnswer::Committed(_)) => {
+            Outcome::Responded(StoreResponse::Committed(_)) => {
                 let refusal = Refusal::NeverAccepted(asked.into_iter().next().unwrap_or_default());
                 self.refuse(request, admission.spec.id, refusal.answer());
             }
-            Outcome::Answered(StoreAnswer::Refused(failed)) => {
+            Outcome::Responded(StoreResponse::ConditionsFailed(failed)) => {
                 let before = admission.accepted.len();
                 let exists = |id: &String| failed.contains(&job_key(id));
                 admission.accepted.extend(asked.into_iter().filter(exists));
@@ -94,10 +94,10 @@
         }
     }
 
-    fn create(&mut self, request: Req, spec: JobSpec) {
+    fn create(&mut self, request: RequestId, spec: JobSpec) {
         let (job, tasks, awaits) = (spec.id.clone(), spec.tasks, spec.awaits.clone());
         if self.users.full {
-            self.refuse(request, job, Answer::later(429, "too many unfinished jobs"));
+            self.refuse(request, job, HttpResponse::later(429, "too many unfinished jobs"));
             return;
         }
         let record = JobRecord { state: RecordState::Open, tasks, awaits: awaits.clone() };
@@ -107,35 +107,41 @@
             .put(job_key(&job), serde_json::to_value(record).expect("records always encode"))
             .put(live_key(&job), serde_json::to_value(live).expect("records always encode"));
         let call = UserCall::Create(Creation { request, job, tasks, awaits: awaits.into() });
-        self.env.store(Purpose::User(call), Urgency::High, StoreOp::Txn(txn));
+        self.env.call_store(Purpose::User(call), Urgency::High, StoreOp::Txn(txn));
     }
 
-    pub(super) fn create_outcome(&mut self, creation: Creation, outcome: Outcome<StoreAnswer>) {
+    pub(super) fn create_outcome(&mut self, creation: Creation, outcome: Outcome<StoreResponse>) {
         let Creation { request, job, tasks, awaits } = creation;
         match outcome {
-            Outcome::Answered(StoreAnswer::Committed(version)) => {
+            Outcome::Responded(StoreResponse::Committed(version)) => {
                 let known = Known { state: RecordState::Open, tasks, version, awaits };
-                self.users.known.insert(&job, known.clone(), self.env.policy.known_jobs);
+                self.users.known.insert(&job, known.clone(), self.env.policy.job_cache_size);
                 let state = match self.users.conclude(&job, known).state {
                     RecordState::Cancelled => JobStatus::Cancelled,
                     _ => JobStatus::Queued,
                 };
                 let view = JobView { id: job, state, done: None, running: None, awaits: Vec::new() };
-                self.close(request, Answer::json(201, &view));
+                self.close(request, HttpResponse::json(201, &view));
             }
-            Outcome::Answered(StoreAnswer::Refused(_)) => self.look_up(request, job),
+            Outcome::Responded(StoreResponse::ConditionsFailed(_)) => self.look_up(request, job),
             _ => self.close(request, store_unsure()),
         }
     }
 
     /// Turns a submission away, unless the store has the job.
-    fn refuse(&mut self, request: Req, job: String, answer: Answer) {
+    fn refuse(&mut self, request: RequestId, job: String, answer: HttpResponse) {
         let op = StoreOp::Get(job_key(&job));
-        self.env.store(Purpose::User(UserCall::Refuse { request, job, answer }), Urgency::High, op);
+        self.env.call_store(Purpose::User(UserCall::Refuse { request, job, answer }), Urgency::High, op);
     }
 
-    pub(super) fn refuse_outcome(&mut self, request: Req, job: String, answer: Answer, outcome: Outcome<StoreAnswer>) {
-        let Outcome::Answered(StoreAnswer::Item(item)) = outcome else {
+    pub(super) fn refuse_outcome(
+        &mut self,
+        request: RequestId,
+        job: String,
+        answer: HttpResponse,
+        outcome: Outcome<StoreResponse>,
+    ) {
+        let Outcome::Responded(StoreResponse::Item(item)) = outcome else {
             self.close(request, store_unsure());
             return;
         };
@@ -164,9 +170,9 @@
 }
 
 impl Refusal {
-    fn answer(&self) -> Answer {
+    fn answer(&self) -> HttpResponse {
         let status = if matches!(self, Refusal::TooLarge(_)) { 400 } else { 422 };
-        Answer::error(status, &self.to_string())
+        HttpResponse::error(status, &self.to_string())
     }
 }
 
@@ -193,7 +199,7 @@
     let Some(team) = env.facts.teams.get(&spec.team) else {
         return Err(Refusal::UnknownTeam);
     };
-    let fits = env.types.iter().any(|kind| {
+    let fits = env.machine_types.iter().any(|kind| {
         let room = Room { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
         room.holds(need)
             && spec.types.as_ref().is_none_or(|types| types.contains(&kind.name))
--- a/crates/core/tests/answers.rs
+++ b/crates/core/tests/answers.rs
@@ -48,7 +48,7 @@
 #[test]
 fn a_job_that_the_cache_loses_during_a_look_is_not_unknown() {
     // Found by reading: what was compared is what is true, even if the cache has lost it since.
-    let policy = rushyoke_core::Policy { known_jobs: 4, ..rushyoke_core::Policy::default() };
+    let policy = rushyoke_core::Policy { job_cache_size: 4, ..rushyoke_core::Policy::default() };
     let mut world = World::with(2, policy, &["a"]);
     world.run(secs(6));
     world.submit(0, service(1, 1));
--- a/crates/core/tests/failover/evacuation.rs
+++ b/crates/core/tests/failover/evacuation.rs
@@ -89,7 +89,7 @@
         [(3, 88, "sheets", Priority::High), (4, 88, "reruns", Priority::Normal), (5, 16, "lab", Priority::BestEffort)];
     for (policy, order) in [(on(), [3, 4, 5]), (with(by_name), [4, 3, 5])] {
         // Few machines are weighed at a time, as in a large fleet.
-        let mut world = fleet(12, Policy { sample: 2, ..policy });
+        let mut world = fleet(12, Policy { placement_sample: 2, ..policy });
         for (id, tasks, class, priority) in jobs {
             let team = if id == 4 { "red" } else { "blue" }.to_owned();
             let spec = JobSpec { class: class.into(), team, ..long(id, tasks, priority) };
--- a/crates/core/tests/failover/support.rs
+++ b/crates/core/tests/failover/support.rs
@@ -13,7 +13,7 @@
 
 pub fn with(settings: FailoverSettings) -> Policy {
     // Nothing is returned for want of work, nor spot machines rented ahead of need.
-    let quiet = Policy { headroom_machines: 0.0, headroom_share: 0.0, idle: secs(3600), ..Policy::default() };
+    let quiet = Policy { headroom_machines: 0.0, headroom_share: 0.0, idle_timeout: secs(3600), ..Policy::default() };
     Policy { failover: Some(settings), service_reserve: 0.0, ..quiet }
 }
 
@@ -27,10 +27,10 @@
 
 pub fn deployment() -> Facts {
     let team = || Team { cpus: 400.0, cpus_max: 800.0, gpus: 0.0, gpus_max: 0.0 };
-    let locations = (0..3).map(|node| (format!("node-{node}"), ZONES[node].to_owned())).collect();
+    let controller_zones = (0..3).map(|node| (format!("node-{node}"), ZONES[node].to_owned())).collect();
     Facts {
         teams: BTreeMap::from([("red".into(), team()), ("blue".into(), team())]),
-        locations,
+        controller_zones,
         cloud_rps: 10.0,
         ..facts(0, 3)
     }
@@ -66,7 +66,7 @@
 
 /// The same with leases that outlive the loss of two controllers, each of which a worker tries for 5 s.
 pub fn at_work_with_long_leases(machines: usize, policy: Policy) -> World {
-    busy(deployed(Facts { lease: secs(18), cancel: secs(40), ..deployment() }, machines, policy))
+    busy(deployed(Facts { worker_lease: secs(18), cancel_limit: secs(40), ..deployment() }, machines, policy))
 }
 
 fn busy(mut world: World) -> World {
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -37,7 +37,7 @@
 fn at_work(machines: usize, services: u32) -> World {
     let team = Team { cpus: 20_000.0, cpus_max: 40_000.0, gpus: 0.0, gpus_max: 0.0 };
     let teams = BTreeMap::from([("red".into(), team)]);
-    let facts = Facts { teams, cloud_rps: 10.0, lease: secs(20), cancel: secs(40), ..facts(0, 3) };
+    let facts = Facts { teams, cloud_rps: 10.0, worker_lease: secs(20), cancel_limit: secs(40), ..facts(0, 3) };
     let mut world = World::deployed(facts, machines, Policy::default(), &ZONES);
     world.cloud.capacity = machines as u32 * 2;
     world.run(secs(6));
@@ -54,10 +54,10 @@
     Facts {
         teams: BTreeMap::from(["red", "blue", "green"].map(team)),
         cloud_rps: 10.0,
-        report: secs(5),
-        lease: secs(26),
-        cancel: secs(56),
-        orders_at_once: 300,
+        report_interval: secs(5),
+        worker_lease: secs(26),
+        cancel_limit: secs(56),
+        max_direct_calls: 300,
         ..facts(0, 3)
     }
 }
@@ -213,7 +213,7 @@
 fn four_thousand_machines(policy: Policy) -> World {
     // Some of the bounds are for each machine.
     const MACHINES: usize = 4000;
-    let facts = Facts { job_bytes: 64 << 20, ..large(12_000.0, 40_000.0) };
+    let facts = Facts { max_job_bytes: 64 << 20, ..large(12_000.0, 40_000.0) };
     let mut world = World::deployed(facts, 0, Policy { headroom_share: 0.02, ..policy }, &ZONES);
     world.task_s = 300.0;
     world.check_every = 50;
--- a/crates/core/tests/meetings.rs
+++ b/crates/core/tests/meetings.rs
@@ -157,7 +157,7 @@
     // leader that cancelled and for the next one.
     for trouble in ["cut", "hang", "deaf"] {
         for takeover in [false, true] {
-            let mut world = World::with(6, Policy { idle: secs(300), ..Policy::default() }, &["a"]);
+            let mut world = World::with(6, Policy { idle_timeout: secs(300), ..Policy::default() }, &["a"]);
             world.run(secs(6));
             (1..5).for_each(|id| assert_eq!(world.submit(0, service(id, 16)), Some(201)));
             world.run(secs(8));
--- a/crates/core/tests/soak.rs
+++ b/crates/core/tests/soak.rs
@@ -69,8 +69,12 @@
 
 /// Intervals, leases and times for cancelled jobs as deployments have them.
 fn deployments() -> [Facts; 4] {
-    let times =
-        |report, lease, cancel| Facts { report: secs(report), lease: secs(lease), cancel: secs(cancel), ..facts(0, 3) };
+    let times = |report, lease, cancel| Facts {
+        report_interval: secs(report),
+        worker_lease: secs(lease),
+        cancel_limit: secs(cancel),
+        ..facts(0, 3)
+    };
     [times(2, 12, 30), times(4, 28, 48), times(4, 10, 40), times(4, 28, 48)]
 }
 
@@ -92,7 +96,7 @@
 /// change of leader about the time at which they are reached again.
 fn meeting(rng: &mut StdRng, world: &World, facts: &Facts) -> Vec<(Duration, Event)> {
     let mut events = Vec::new();
-    let lease = facts.lease;
+    let lease = facts.worker_lease;
     let begins = secs(6);
     let way = WAYS[rng.random_range(0..WAYS.len())];
     let mixed = rng.random_range(0..4) == 0;
@@ -121,12 +125,12 @@
     }
     if rng.random_range(0..4) > 0 {
         // Half of them so that the leader may answer no more soon after the machines are reached again.
-        let answered_for = facts.cancel - lease - secs(2);
+        let answered_for = facts.cancel_limit - lease - secs(2);
         let close = (begins + lasts + between(rng, secs(0), secs(6))).saturating_sub(answered_for);
         let drawn = begins + between(rng, secs(0), lasts + secs(2));
         let from = if rng.random_range(0..2) == 0 { close.max(begins) } else { drawn };
         events.push((from, Event::StoreOutage));
-        let shortest = if rng.random_range(0..2) == 0 { facts.cancel } else { secs(5) };
+        let shortest = if rng.random_range(0..2) == 0 { facts.cancel_limit } else { secs(5) };
         events.push((from + between(rng, shortest, secs(60)), Event::StoreBack));
     }
     if rng.random_range(0..2) == 0 {
@@ -194,7 +198,7 @@
         world.run((began + at).saturating_sub(world.now));
         happen(&mut world, event);
     }
-    world.run(facts.cancel + secs(5));
+    world.run(facts.cancel_limit + secs(5));
     for node in 0..3 {
         if !world.runs_node(node) {
             world.start_node(node);
--- a/crates/core/tests/stops.rs
+++ b/crates/core/tests/stops.rs
@@ -14,7 +14,7 @@
 
 /// Leases that last for longer than a leader may answer without the state service.
 fn long_leases() -> Facts {
-    Facts { report: secs(4), lease: secs(28), cancel: secs(48), ..facts(0, 3) }
+    Facts { report_interval: secs(4), worker_lease: secs(28), cancel_limit: secs(48), ..facts(0, 3) }
 }
 
 /// Job 1 at work, and the leader.
@@ -116,11 +116,11 @@
     let team = Team { cpus: 12_000.0, cpus_max: 40_000.0, gpus: 0.0, gpus_max: 0.0 };
     let facts = Facts {
         teams: BTreeMap::from([("red".into(), team)]),
-        report: secs(5),
-        lease: secs(40),
-        cancel: secs(56),
-        orders_at_once: 300,
-        job_bytes: 64 << 20,
+        report_interval: secs(5),
+        worker_lease: secs(40),
+        cancel_limit: secs(56),
+        max_direct_calls: 300,
+        max_job_bytes: 64 << 20,
         ..facts(0, 3)
     };
     let mut world = World::deployed(facts, 4000, Policy::default(), &["a", "b", "c"]);
--- a/crates/core/tests/submissions.rs
+++ b/crates/core/tests/submissions.rs
@@ -48,7 +48,7 @@
 
 #[test]
 fn jobs_that_would_take_too_much_memory_are_turned_away_at_once() {
-    let facts = Facts { job_bytes: 40_000, ..facts(0, 3) };
+    let facts = Facts { max_job_bytes: 40_000, ..facts(0, 3) };
     let mut world = World::deployed(facts, 1, Policy::default(), &["a"]);
     world.run(secs(6));
     // Few jobs, but of a hundred thousand tasks each.
@@ -102,7 +102,7 @@
 
 #[test]
 fn a_full_cache_of_jobs_forgets_none() {
-    let mut world = World::with(2, Policy { known_jobs: 2, ..Policy::default() }, &["a"]);
+    let mut world = World::with(2, Policy { job_cache_size: 2, ..Policy::default() }, &["a"]);
     world.run(secs(6));
     for id in 1..9 {
         world.submit(id as usize % 3, job(id, 2));
--- a/crates/core/tests/upgrade.rs
+++ b/crates/core/tests/upgrade.rs
@@ -225,7 +225,7 @@
         .put("live/wk-000002", live);
     let now = world.now;
     let answer = world.store.execute(now, &rushyoke_core::StoreOp::Txn(txn));
-    assert!(matches!(answer, rushyoke_core::StoreAnswer::Committed(_)));
+    assert!(matches!(answer, rushyoke_core::StoreResponse::Committed(_)));
     world.rules.unwanted(&job_id(2));
     world.run(secs(2));
     world.start_node(leader);
--- a/crates/rushyoke/src/command.rs
+++ b/crates/rushyoke/src/command.rs
@@ -50,11 +50,11 @@
         .run_until(Http::new(Room { own: 1, open: Rc::default(), most: 0 }, Rc::default()).request(request))
         .await
     {
-        Outcome::Answered((200 | 201, body)) => Ok(String::from_utf8_lossy(&body).into_owned()),
-        Outcome::Answered((status, body)) => {
+        Outcome::Responded((200 | 201, body)) => Ok(String::from_utf8_lossy(&body).into_owned()),
+        Outcome::Responded((status, body)) => {
             Err(format!("{} answered {status}: {}", at.server, String::from_utf8_lossy(&body)))
         }
-        Outcome::NotDone => Err(format!("{} cannot be reached", at.server)),
+        Outcome::NotExecuted => Err(format!("{} cannot be reached", at.server)),
         Outcome::Unknown => {
             Err(format!("{} did not answer within {} s; it may still act on the request", at.server, at.timeout))
         }
--- a/crates/rushyoke/src/drive.rs
+++ b/crates/rushyoke/src/drive.rs
@@ -8,7 +8,9 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use rushyoke_core::{Answer, Call, CloudOp, Input, Node, Now, Outcome, Output, Req, StoreAnswer, StoreOp, Urgency};
+use rushyoke_core::{
+    CallId, CloudOp, HttpResponse, Input, Node, Now, Outcome, Output, RequestId, StoreOp, StoreResponse, Urgency,
+};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::LocalSet;
 
@@ -33,7 +35,7 @@
 const CLOUD_SHARE: f64 = 0.8;
 
 struct Waiting {
-    answer: oneshot::Sender<Answer>,
+    answer: oneshot::Sender<HttpResponse>,
     submission: bool,
     since: Instant,
 }
@@ -41,7 +43,7 @@
 struct Driver {
     node: Node,
     http: Http,
-    store: Budget<(Call, StoreOp)>,
+    store: Budget<(CallId, StoreOp)>,
     /// Requests and changes a second that the state service will allow from some moment on, which its
     /// first 429 may show.
     next_limits: Option<(f64, f64)>,
@@ -50,11 +52,11 @@
     /// must not use up the sockets. Leadership passes, and watches do not count.
     store_calls: Rc<Cell<usize>>,
     most_store_calls: usize,
-    cloud: Budget<(Call, CloudOp)>,
+    cloud: Budget<(CallId, CloudOp)>,
     store_addr: SocketAddr,
     cloud_addr: SocketAddr,
     peers: HashMap<String, SocketAddr>,
-    waiting: HashMap<Req, Waiting>,
+    waiting: HashMap<RequestId, Waiting>,
     next_req: u64,
     back: mpsc::UnboundedSender<Input>,
     stats: Rc<RefCell<Stats>>,
@@ -160,10 +162,10 @@
         }
         self.store.share(share);
         for (call, _) in self.store.expired(now) {
-            self.input(Input::Store { call, outcome: Outcome::NotDone });
+            self.input(Input::Store { call, outcome: Outcome::NotExecuted });
         }
         for (call, _) in self.cloud.expired(now) {
-            self.input(Input::Cloud { call, outcome: Outcome::NotDone });
+            self.input(Input::Cloud { call, outcome: Outcome::NotExecuted });
         }
         let waits = self.waits.load(Ordering::Relaxed);
         self.stats.borrow_mut().waits(waits);
@@ -180,15 +182,15 @@
         self.waited = waits;
         self.busy += (share - self.busy) * GAUGE;
         let share = self.busy;
-        self.input(Input::Busy { share, late });
+        self.input(Input::ProcessorLoad { share, tick_delay: late });
     }
 
     fn asked(&mut self, asked: Asked) {
         self.next_req += 1;
-        let req = Req(self.next_req);
+        let request_id = RequestId(self.next_req);
         let waiting = Waiting { answer: asked.answer, submission: asked.submission, since: Instant::now() };
-        self.waiting.insert(req, waiting);
-        self.input((asked.input)(req));
+        self.waiting.insert(request_id, waiting);
+        self.input((asked.input)(request_id));
     }
 
     fn input(&mut self, input: Input) {
@@ -201,16 +203,16 @@
     fn output(&mut self, output: Output) {
         let now = Instant::now();
         match output {
-            Output::Answer { req, answer } => {
-                if let Some(waiting) = self.waiting.remove(&req) {
+            Output::Response { request_id, response } => {
+                if let Some(waiting) = self.waiting.remove(&request_id) {
                     if waiting.submission {
                         self.stats.borrow_mut().note(Delay::Accept, now.duration_since(waiting.since));
                     }
-                    if matches!(answer.status, 429 | 503) {
+                    if matches!(response.status, 429 | 503) {
                         self.stats.borrow_mut().shed();
                     }
                     // The client may have gone.
-                    let _ = waiting.answer.send(answer);
+                    let _ = waiting.answer.send(response);
                 }
             }
             Output::Store { call, op, urgency } => {
@@ -219,12 +221,12 @@
                     _ => 0,
                 };
                 if let Some((call, _)) = self.store.push((call, op), urgency, writes, now) {
-                    let _ = self.back.send(Input::Store { call, outcome: Outcome::NotDone });
+                    let _ = self.back.send(Input::Store { call, outcome: Outcome::NotExecuted });
                 }
             }
             Output::Cloud { call, op } => {
                 if let Some((call, _)) = self.cloud.push((call, op), Urgency::Low, 0, now) {
-                    let _ = self.back.send(Input::Cloud { call, outcome: Outcome::NotDone });
+                    let _ = self.back.send(Input::Cloud { call, outcome: Outcome::NotExecuted });
                 }
             }
             Output::Order { call, addr, orders, probe } => {
@@ -232,7 +234,7 @@
                 tokio::task::spawn_local(async move {
                     let outcome = outside::order(&http, &addr, &orders, probe).await;
                     stats.borrow_mut().note(Delay::Order, now.elapsed());
-                    let _ = back.send(Input::Ordered { call, outcome });
+                    let _ = back.send(Input::OrderResponse { call, outcome });
                 });
             }
             Output::Peer { label, request } => {
@@ -268,7 +270,7 @@
             calls.set(calls.get() + usize::from(!watch));
             tokio::task::spawn_local(async move {
                 let outcome = outside::store(&http, addr, op).await;
-                limited.set(limited.get() || matches!(outcome, Outcome::Answered(StoreAnswer::Limited)));
+                limited.set(limited.get() || matches!(outcome, Outcome::Responded(StoreResponse::RateLimited)));
                 if !watch {
                     calls.set(calls.get() - 1);
                     stats.borrow_mut().note(Delay::State, now.elapsed());
--- a/crates/rushyoke/src/http.rs
+++ b/crates/rushyoke/src/http.rs
@@ -68,19 +68,19 @@
         while let Some(sender) = self.take(request.addr) {
             match self.send(sender, &request).await {
                 // A kept connection that had ended: nothing was sent.
-                Outcome::NotDone => continue,
+                Outcome::NotExecuted => continue,
                 outcome => return outcome,
             }
         }
         let stream = match timeout(request.connect, TcpStream::connect(request.addr)).await {
             Ok(Ok(stream)) => stream,
             // An attempt to connect that was given up does not complete later.
-            _ => return Outcome::NotDone,
+            _ => return Outcome::NotExecuted,
         };
         self.stats.borrow_mut().count(Work::Opened);
         let _ = stream.set_nodelay(true);
         let Ok((sender, connection)) = handshake(TokioIo::new(stream)).await else {
-            return Outcome::NotDone;
+            return Outcome::NotExecuted;
         };
         tokio::task::spawn_local(connection);
         self.send(sender, &request).await
@@ -128,7 +128,7 @@
             .header("content-type", "application/json")
             .body(Full::new(request.body.clone()));
         let Ok(message) = message else {
-            return Outcome::NotDone;
+            return Outcome::NotExecuted;
         };
         let answer = async {
             let response = sender.try_send_request(message).await.map_err(|mut e| {
@@ -147,9 +147,9 @@
         match timeout(request.wait, answer).await {
             Ok(Ok(answer)) => {
                 self.keep_when_ready(request.addr, sender);
-                Outcome::Answered(answer)
+                Outcome::Responded(answer)
             }
-            Ok(Err(true)) => Outcome::NotDone,
+            Ok(Err(true)) => Outcome::NotExecuted,
             Ok(Err(false)) => Outcome::Unknown,
             Err(_) => {
                 self.close(request.addr);
--- a/crates/rushyoke/src/outside.rs
+++ b/crates/rushyoke/src/outside.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use hyper::Method;
-use rushyoke_core::{CloudAnswer, CloudOp, Outcome, StoreAnswer, StoreOp};
+use rushyoke_core::{CloudOp, CloudResponse, Outcome, StoreOp, StoreResponse};
 use rushyoke_wire::cloud::{Listing, Names, Types};
 use rushyoke_wire::peer::{PeerRequest, PeerResponse, Relay, RelayResponse, decode, encode};
 use rushyoke_wire::store::{Changes, Committed, Item, Lease, NewLease, Page, Refused};
@@ -58,7 +58,7 @@
 }
 
 fn known<T>(answer: Option<T>) -> Outcome<T> {
-    answer.map_or(Outcome::Unknown, Outcome::Answered)
+    answer.map_or(Outcome::Unknown, Outcome::Responded)
 }
 
 fn unexpected<T>(what: &str, status: u16) -> Outcome<T> {
@@ -66,7 +66,7 @@
     Outcome::Unknown
 }
 
-pub async fn store(http: &Http, addr: SocketAddr, op: StoreOp) -> Outcome<StoreAnswer> {
+pub async fn store(http: &Http, addr: SocketAddr, op: StoreOp) -> Outcome<StoreResponse> {
     let request = match &op {
         StoreOp::Get(key) => outgoing(addr, Method::GET, format!("/kv/{key}"), Vec::new(), STORE_WAIT),
         StoreOp::List { prefix, after } => {
@@ -77,7 +77,9 @@
         StoreOp::NewLease { ttl_ms } => {
             outgoing(addr, Method::POST, "/leases", json(&NewLease { ttl_ms: *ttl_ms }), STORE_WAIT)
         }
-        StoreOp::Touch(lease) => outgoing(addr, Method::POST, format!("/leases/{lease}/touch"), Vec::new(), STORE_WAIT),
+        StoreOp::RenewLease(lease) => {
+            outgoing(addr, Method::POST, format!("/leases/{lease}/touch"), Vec::new(), STORE_WAIT)
+        }
         StoreOp::EndLease(lease) => outgoing(addr, Method::DELETE, format!("/leases/{lease}"), Vec::new(), STORE_WAIT),
         StoreOp::Watch { prefix, after, wait_ms } => {
             let path = format!("/changes?starts={prefix}&since={after}&block_ms={wait_ms}");
@@ -85,41 +87,45 @@
         }
     };
     let (status, body) = match http.request(request).await {
-        Outcome::Answered(answer) => answer,
-        Outcome::NotDone => return Outcome::NotDone,
+        Outcome::Responded(answer) => answer,
+        Outcome::NotExecuted => return Outcome::NotExecuted,
         Outcome::Unknown => return Outcome::Unknown,
     };
     if matches!(status, 429 | 503) {
         tracing::debug!(status, ?op, "the state service declines");
-        let answer = if status == 429 { StoreAnswer::Limited } else { StoreAnswer::Unavailable };
-        return Outcome::Answered(answer);
+        let answer = if status == 429 { StoreResponse::RateLimited } else { StoreResponse::Unavailable };
+        return Outcome::Responded(answer);
     }
     match (&op, status) {
-        (StoreOp::Get(_), 200) => known(parse::<Item>("state", &body).map(|item| StoreAnswer::Item(Some(item)))),
-        (StoreOp::Get(_), 404) => Outcome::Answered(StoreAnswer::Item(None)),
-        (StoreOp::List { .. }, 200) => known(parse::<Page>("state", &body).map(StoreAnswer::Page)),
-        (StoreOp::Txn(_), 200) => known(parse::<Committed>("state", &body).map(|c| StoreAnswer::Committed(c.revision))),
-        (StoreOp::Txn(_), 409) => known(parse::<Refused>("state", &body).map(|r| StoreAnswer::Refused(r.failed))),
+        (StoreOp::Get(_), 200) => known(parse::<Item>("state", &body).map(|item| StoreResponse::Item(Some(item)))),
+        (StoreOp::Get(_), 404) => Outcome::Responded(StoreResponse::Item(None)),
+        (StoreOp::List { .. }, 200) => known(parse::<Page>("state", &body).map(StoreResponse::Page)),
+        (StoreOp::Txn(_), 200) => {
+            known(parse::<Committed>("state", &body).map(|c| StoreResponse::Committed(c.revision)))
+        }
+        (StoreOp::Txn(_), 409) => {
+            known(parse::<Refused>("state", &body).map(|r| StoreResponse::ConditionsFailed(r.failed)))
+        }
         (StoreOp::Txn(_), 400) => {
             let text = String::from_utf8_lossy(&body);
             if !text.contains("no such lease") {
                 tracing::error!(%text, "the state service calls a transaction malformed");
             }
-            Outcome::Answered(StoreAnswer::NoSuchLease)
+            Outcome::Responded(StoreResponse::NoSuchLease)
         }
-        (StoreOp::NewLease { .. }, 200) => known(parse::<Lease>("state", &body).map(|l| StoreAnswer::Lease(l.lease))),
-        (StoreOp::Touch(_) | StoreOp::EndLease(_), 200 | 204) => Outcome::Answered(StoreAnswer::LeaseLives),
-        (StoreOp::Touch(_) | StoreOp::EndLease(_), 404) => Outcome::Answered(StoreAnswer::NoSuchLease),
+        (StoreOp::NewLease { .. }, 200) => known(parse::<Lease>("state", &body).map(|l| StoreResponse::Lease(l.lease))),
+        (StoreOp::RenewLease(_) | StoreOp::EndLease(_), 200 | 204) => Outcome::Responded(StoreResponse::LeaseOk),
+        (StoreOp::RenewLease(_) | StoreOp::EndLease(_), 404) => Outcome::Responded(StoreResponse::NoSuchLease),
         // Changes have no size limit. More than can be taken are as good as too old: what they
         // concern is read again, in pages.
-        (StoreOp::Watch { .. }, 200) if body.is_empty() => Outcome::Answered(StoreAnswer::TooOld),
-        (StoreOp::Watch { .. }, 200) => known(parse::<Changes>("state", &body).map(StoreAnswer::Changes)),
-        (StoreOp::Watch { .. }, 410) => Outcome::Answered(StoreAnswer::TooOld),
+        (StoreOp::Watch { .. }, 200) if body.is_empty() => Outcome::Responded(StoreResponse::Compacted),
+        (StoreOp::Watch { .. }, 200) => known(parse::<Changes>("state", &body).map(StoreResponse::Changes)),
+        (StoreOp::Watch { .. }, 410) => Outcome::Responded(StoreResponse::Compacted),
         _ => unexpected("state", status),
     }
 }
 
-pub async fn cloud(http: &Http, addr: SocketAddr, op: CloudOp) -> Outcome<CloudAnswer> {
+pub async fn cloud(http: &Http, addr: SocketAddr, op: CloudOp) -> Outcome<CloudResponse> {
     let request = match &op {
         CloudOp::Types => outgoing(addr, Method::GET, "/flavors", Vec::new(), CLOUD_WAIT),
         CloudOp::Rent(rental) => outgoing(addr, Method::POST, "/machines", json(rental), CLOUD_WAIT),
@@ -132,21 +138,21 @@
         }
     };
     let (status, body) = match http.request(request).await {
-        Outcome::Answered(answer) => answer,
-        Outcome::NotDone => return Outcome::NotDone,
+        Outcome::Responded(answer) => answer,
+        Outcome::NotExecuted => return Outcome::NotExecuted,
         Outcome::Unknown => return Outcome::Unknown,
     };
     match (&op, status) {
-        (CloudOp::Types, 200) => known(parse::<Types>("cloud", &body).map(|t| CloudAnswer::Types(t.types))),
-        (CloudOp::Rent(_), 200) => known(parse::<Names>("cloud", &body).map(|n| CloudAnswer::Rented(n.machines))),
-        (CloudOp::Release(_), 200) => Outcome::Answered(CloudAnswer::Released),
-        (CloudOp::List { .. }, 200) => known(parse::<Listing>("cloud", &body).map(CloudAnswer::Listing)),
+        (CloudOp::Types, 200) => known(parse::<Types>("cloud", &body).map(|t| CloudResponse::Types(t.types))),
+        (CloudOp::Rent(_), 200) => known(parse::<Names>("cloud", &body).map(|n| CloudResponse::Rented(n.machines))),
+        (CloudOp::Release(_), 200) => Outcome::Responded(CloudResponse::Released),
+        (CloudOp::List { .. }, 200) => known(parse::<Listing>("cloud", &body).map(CloudResponse::Listing)),
         (CloudOp::Rent(_), 503) if String::from_utf8_lossy(&body).contains("no capacity") => {
-            Outcome::Answered(CloudAnswer::NoCapacity)
+            Outcome::Responded(CloudResponse::NoCapacity)
         }
         (_, 429 | 503) => {
             tracing::debug!(status, "the cloud declines");
-            Outcome::Answered(CloudAnswer::Unavailable)
+            Outcome::Responded(CloudResponse::Unavailable)
         }
         _ => unexpected("cloud", status),
     }
@@ -157,15 +163,17 @@
 pub async fn order(http: &Http, addr: &str, orders: &Orders, probe: bool) -> Outcome<(u16, Report)> {
     let Ok(addr) = addr.parse::<SocketAddr>() else {
         tracing::error!(addr, "a worker's address cannot be used");
-        return Outcome::NotDone;
+        return Outcome::NotExecuted;
     };
     let wait = if probe { PROBE_WAIT } else { WORKER_WAIT };
     let request =
         OutgoingRequest { connect: PROBE_WAIT, ..outgoing(addr, Method::POST, "/orders", json(orders), wait) };
     match http.request(request).await {
-        Outcome::Answered((status @ (200 | 409), body)) => known(parse("worker", &body).map(|report| (status, report))),
-        Outcome::Answered((status, _)) => unexpected("worker", status),
-        Outcome::NotDone => Outcome::NotDone,
+        Outcome::Responded((status @ (200 | 409), body)) => {
+            known(parse("worker", &body).map(|report| (status, report)))
+        }
+        Outcome::Responded((status, _)) => unexpected("worker", status),
+        Outcome::NotExecuted => Outcome::NotExecuted,
         Outcome::Unknown => Outcome::Unknown,
     }
 }
@@ -186,7 +194,7 @@
     wait: Duration,
 ) -> Outcome<T> {
     match http.request(outgoing(addr, Method::POST, path, encode(message), wait)).await {
-        Outcome::Answered((200, body)) => known(decode(&body)),
+        Outcome::Responded((200, body)) => known(decode(&body)),
         _ => Outcome::Unknown,
     }
 }
--- a/crates/rushyoke/src/serve.rs
+++ b/crates/rushyoke/src/serve.rs
@@ -14,7 +14,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::{TokioIo, TokioTimer};
-use rushyoke_core::{Answer, Input, Req};
+use rushyoke_core::{HttpResponse, Input, RequestId};
 use rushyoke_wire::job::{JobSpec, is_job_id};
 use rushyoke_wire::peer;
 use rushyoke_wire::worker::UnreadReport;
@@ -37,8 +37,8 @@
 
 /// A request on its way to the core.
 pub struct Asked {
-    pub input: Box<dyn FnOnce(Req) -> Input>,
-    pub answer: oneshot::Sender<Answer>,
+    pub input: Box<dyn FnOnce(RequestId) -> Input>,
+    pub answer: oneshot::Sender<HttpResponse>,
     pub submission: bool,
 }
 
@@ -119,10 +119,10 @@
             Side::Peers => None,
         };
         let Some((allowed, route)) = route else {
-            return Ok(respond(Answer::error(404, "no such path")));
+            return Ok(respond(HttpResponse::error(404, "no such path")));
         };
         if method != allowed {
-            let mut response = respond(Answer::error(405, "method not allowed"));
+            let mut response = respond(HttpResponse::error(405, "method not allowed"));
             response.headers_mut().insert("allow", allowed.as_str().parse().expect("a method's name"));
             return Ok(response);
         }
@@ -138,28 +138,28 @@
 
     /// Reads a body, of which no more is taken than it announced, and all together no more than
     /// there is memory for.
-    async fn body<B: Body<Data = Bytes>>(&self, body: B) -> Result<Bytes, Answer>
+    async fn body<B: Body<Data = Bytes>>(&self, body: B) -> Result<Bytes, HttpResponse>
     where
         B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
     {
         let size = body.size_hint().upper().map_or(MOST_BODY, |size| size.min(MOST_BODY as u64) as usize);
         if self.bodies.get() + size > self.most_bodies {
             self.stats.borrow_mut().shed();
-            return Err(Answer::later(503, "too many requests at once"));
+            return Err(HttpResponse::later(503, "too many requests at once"));
         }
         self.bodies.set(self.bodies.get() + size);
         let _given_back = GivenBack { bodies: self.bodies.clone(), size };
         match timeout(SLOWEST_BODY, Limited::new(body, MOST_BODY).collect()).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => {
-                Err(Answer::error(413, "the body is larger than 64 KiB"))
+                Err(HttpResponse::error(413, "the body is larger than 64 KiB"))
             }
-            Ok(Err(_)) => Err(Answer::error(400, "the body could not be read")),
-            Err(_) => Err(Answer::error(408, "the body came too slowly")),
+            Ok(Err(_)) => Err(HttpResponse::error(400, "the body could not be read")),
+            Err(_) => Err(HttpResponse::error(408, "the body came too slowly")),
         }
     }
 
-    async fn route(&self, route: Route, body: &Bytes) -> Answer {
+    async fn route(&self, route: Route, body: &Bytes) -> HttpResponse {
         let submission = matches!(route, Route::Submit);
         self.stats.borrow_mut().count(match route {
             Route::Report => Work::Report,
@@ -167,44 +167,44 @@
             Route::Submit | Route::Status(_) | Route::Cancel(_) => Work::User,
         });
         let core = if matches!(route, Route::Ready | Route::Peer | Route::Relay) { &self.first } else { &self.core };
-        let input: Box<dyn FnOnce(Req) -> Input> = match route {
+        let input: Box<dyn FnOnce(RequestId) -> Input> = match route {
             Route::Submit => match JobSpec::parse(body) {
-                Ok(spec) => Box::new(move |req| Input::Submit { req, spec: Box::new(spec) }),
-                Err(why) => return Answer::error(400, &why),
+                Ok(spec) => Box::new(move |request_id| Input::Submit { request_id, spec: Box::new(spec) }),
+                Err(why) => return HttpResponse::error(400, &why),
             },
             Route::Status(id) | Route::Cancel(id) if !is_job_id(&id) => {
-                return Answer::error(404, "no such job");
+                return HttpResponse::error(404, "no such job");
             }
-            Route::Status(id) => Box::new(move |req| Input::Status { req, id }),
-            Route::Cancel(id) => Box::new(move |req| Input::Cancel { req, id }),
-            Route::Ready => Box::new(|req| Input::Ready { req }),
+            Route::Status(id) => Box::new(move |request_id| Input::Status { request_id, id }),
+            Route::Cancel(id) => Box::new(move |request_id| Input::Cancel { request_id, id }),
+            Route::Ready => Box::new(|request_id| Input::Ready { request_id }),
             Route::Report => match serde_json::from_slice::<UnreadReport>(body) {
-                Ok(report) => Box::new(move |req| {
-                    let (report, unread) = report.split();
-                    Input::Report { req, report: Box::new(report), unread }
+                Ok(report) => Box::new(move |request_id| {
+                    let (report, unparsed_tasks) = report.split();
+                    Input::Report { request_id, report: Box::new(report), unparsed_tasks }
                 }),
                 Err(error) => {
                     tracing::error!(%error, "malformed report");
-                    return Answer::error(400, &error.to_string());
+                    return HttpResponse::error(400, &error.to_string());
                 }
             },
             Route::Peer => match peer::decode(body) {
-                Some(request) => Box::new(move |req| Input::Peer { req, request }),
-                None => return Answer::error(400, "malformed message"),
+                Some(request) => Box::new(move |request_id| Input::Peer { request_id, request }),
+                None => return HttpResponse::error(400, "malformed message"),
             },
             Route::Relay => match peer::decode::<peer::Relay>(body) {
                 Some(relay) => {
                     self.stats.borrow_mut().relayed(relay.reports.len());
-                    Box::new(move |req| Input::Relay { req, relay })
+                    Box::new(move |request_id| Input::Relay { request_id, relay })
                 }
-                None => return Answer::error(400, "malformed message"),
+                None => return HttpResponse::error(400, "malformed message"),
             },
         };
         let (answer, answered) = oneshot::channel();
         if core.try_send(Asked { input, answer, submission }).is_err() {
-            return Answer::later(503, "too many requests at once");
+            return HttpResponse::later(503, "too many requests at once");
         }
-        answered.await.unwrap_or_else(|_| Answer::later(503, "no answer"))
+        answered.await.unwrap_or_else(|_| HttpResponse::later(503, "no answer"))
     }
 }
 
@@ -245,7 +245,7 @@
     }
 }
 
-fn respond(answer: Answer) -> Response<Full<Bytes>> {
+fn respond(answer: HttpResponse) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(answer.body)));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
--- a/crates/rushyoke/src/settings.rs
+++ b/crates/rushyoke/src/settings.rs
@@ -271,7 +271,7 @@
     let objectives = facts.objectives.iter().map(|o| Objective {
         kind: o.kind.clone(),
         class: o.class.clone(),
-        within: o.within_s.filter(|s| *s >= 0.0 && s.is_finite()).map(|s| Duration::from_secs_f64(s.min(1e9))),
+        time_limit: o.within_s.filter(|s| *s >= 0.0 && s.is_finite()).map(|s| Duration::from_secs_f64(s.min(1e9))),
     });
     let peers: BTreeMap<String, SocketAddr> = file.others.iter().map(|o| (o.label.clone(), o.endpoint)).collect();
     if peers.contains_key(&file.label) {
@@ -286,20 +286,20 @@
     let locations = others.chain([(&file.label, &file.location)]);
     let core = Facts {
         label: file.label.clone(),
-        others: peers.keys().cloned().collect(),
-        locations: locations.filter_map(|(label, zone)| Some((label.clone(), zone.clone()?))).collect(),
+        peers: peers.keys().cloned().collect(),
+        controller_zones: locations.filter_map(|(label, zone)| Some((label.clone(), zone.clone()?))).collect(),
         teams,
         objectives: objectives.collect(),
-        report: positive("facts.workers.report_s", facts.workers.report_s)?,
-        lease: positive("facts.workers.lease_s", facts.workers.lease_s)?,
-        cancel: positive("facts.workers.cancel_s", facts.workers.cancel_s)?,
+        report_interval: positive("facts.workers.report_s", facts.workers.report_s)?,
+        worker_lease: positive("facts.workers.lease_s", facts.workers.lease_s)?,
+        cancel_limit: positive("facts.workers.cancel_s", facts.workers.cancel_s)?,
         txn_ops: limits.txn_ops,
         write_rps: limits.write_rps,
         value_bytes: (limits.value_kb.min(1e6) * 1024.0) as usize,
-        list_lag: positive("facts.cloud.list_lag_s", facts.cloud.list_lag_s)?,
+        cloud_list_lag: positive("facts.cloud.list_lag_s", facts.cloud.list_lag_s)?,
         cloud_rps: count("facts.cloud.rps", facts.cloud.rps)?,
-        orders_at_once: sockets.orders,
-        job_bytes: memory / JOBS_PART,
+        max_direct_calls: sockets.orders,
+        max_job_bytes: memory / JOBS_PART,
     };
     Ok(Settings {
         nodes: peers.len() + 1,
@@ -353,21 +353,21 @@
     policy.speculation = file.speculation.unwrap_or(policy.speculation);
     seconds("speculation_period_s", file.speculation_period_s, 1.0, 3600.0, &mut policy.speculation_period)?;
     number("straggler_threshold", file.straggler_threshold, 0.0, 1e6, &mut policy.straggler_threshold)?;
-    let mut cell_minimum = policy.cell_minimum as usize;
+    let mut cell_minimum = policy.min_cell_tasks as usize;
     whole("cell_minimum", file.cell_minimum.map(|n| n as usize), 2, 10_000, &mut cell_minimum)?;
-    policy.cell_minimum = cell_minimum as u32;
-    whole("levels", file.levels, 1, 32, &mut policy.levels)?;
-    seconds("lead_ttl_s", file.lead_ttl_s, 0.5, 60.0, &mut policy.lead_ttl)?;
+    policy.min_cell_tasks = cell_minimum as u32;
+    whole("levels", file.levels, 1, 32, &mut policy.max_levels)?;
+    seconds("lead_ttl_s", file.lead_ttl_s, 0.5, 60.0, &mut policy.leader_lease)?;
     number("headroom_share", file.headroom_share, 0.0, 10.0, &mut policy.headroom_share)?;
     number("headroom_machines", file.headroom_machines, 0.0, 1000.0, &mut policy.headroom_machines)?;
     number("service_reserve", file.service_reserve, 0.0, 100.0, &mut policy.service_reserve)?;
-    number("patience_share", file.patience_share, 0.0, 1.0, &mut policy.patience_share)?;
-    seconds("idle_s", file.idle_s, 0.0, 86_400.0, &mut policy.idle)?;
-    seconds("starved_s", file.starved_s, 1.0, 86_400.0, &mut policy.starved)?;
-    number("silent_reports", file.silent_reports, 1.5, 100.0, &mut policy.silent_reports)?;
+    number("patience_share", file.patience_share, 0.0, 1.0, &mut policy.preemption_delay_share)?;
+    seconds("idle_s", file.idle_s, 0.0, 86_400.0, &mut policy.idle_timeout)?;
+    seconds("starved_s", file.starved_s, 1.0, 86_400.0, &mut policy.starvation_timeout)?;
+    number("silent_reports", file.silent_reports, 1.5, 100.0, &mut policy.missed_report_limit)?;
     whole("max_jobs", file.max_jobs, 1, 1_000_000, &mut policy.max_jobs)?;
-    whole("known_jobs", file.known_jobs, 100, 10_000_000, &mut policy.known_jobs)?;
-    whole("sample", file.sample, 1, 100_000, &mut policy.sample)?;
+    whole("known_jobs", file.known_jobs, 100, 10_000_000, &mut policy.job_cache_size)?;
+    whole("sample", file.sample, 1, 100_000, &mut policy.placement_sample)?;
     policy.balance = file.balance.map(FileBalance::into_settings).transpose()?.flatten();
     policy.failover = file.failover.map(FileFailover::into_settings).transpose()?.flatten();
     Ok(policy)
--- a/crates/rushyoke/src/settings/failover.rs
+++ b/crates/rushyoke/src/settings/failover.rs
@@ -88,7 +88,7 @@
 /// Checks the names of classes and zones against those that the platform tells.
 pub(super) fn check_names(settings: &FailoverSettings, facts: &Facts) -> Result<(), FailoverSettingsError> {
     let classes: BTreeSet<String> = facts.objectives.iter().filter_map(|objective| objective.class.clone()).collect();
-    let zones: BTreeSet<String> = facts.locations.values().cloned().collect();
+    let zones: BTreeSet<String> = facts.controller_zones.values().cloned().collect();
     settings.check_names(&classes, &zones)
 }
 
