--- a/crates/testkit/examples/profile.rs
+++ b/crates/testkit/examples/profile.rs
@@ -24,11 +24,15 @@
     let team = Team { cpus: machines, cpus_max: machines * 2.4, gpus: 0.0, gpus_max: 0.0 };
     Facts {
         teams: (0..10).map(|n| (format!("team-{n}"), team.clone())).collect::<BTreeMap<_, _>>(),
-        objectives: vec![Objective { kind: "guarantee".into(), class: None, within: Some(Duration::from_secs(10)) }],
-        report: Duration::from_millis(1500),
-        lease: Duration::from_secs(10),
-        cancel: Duration::from_secs(40),
-        list_lag: Duration::from_secs(5),
+        objectives: vec![Objective {
+            kind: "guarantee".into(),
+            class: None,
+            time_limit: Some(Duration::from_secs(10)),
+        }],
+        report_interval: Duration::from_millis(1500),
+        worker_lease: Duration::from_secs(10),
+        cancel_limit: Duration::from_secs(40),
+        cloud_list_lag: Duration::from_secs(5),
         ..facts(0, 3)
     }
 }
--- a/crates/testkit/examples/support/mod.rs
+++ b/crates/testkit/examples/support/mod.rs
@@ -18,7 +18,7 @@
 use hyper::service::service_fn;
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
-use rushyoke_core::{CloudAnswer, CloudOp, StoreAnswer, StoreOp};
+use rushyoke_core::{CloudOp, CloudResponse, StoreOp, StoreResponse};
 use rushyoke_testkit::{Cloud, Store, Worker};
 use rushyoke_wire::cloud::{Names, Rental, Types};
 use rushyoke_wire::job::JobSpec;
@@ -175,7 +175,7 @@
                 let changed = self.changed.notified();
                 let answer = self.store.borrow().watch(&starts, after);
                 match answer {
-                    Some(StoreAnswer::Changes(changes)) => return reply(200, changes),
+                    Some(StoreResponse::Changes(changes)) => return reply(200, changes),
                     Some(_) => return reply(410, ()),
                     None => {}
                 }
@@ -191,7 +191,7 @@
             ("GET", ["kv"]) => StoreOp::List { prefix: starts, after: since },
             ("GET", ["kv", ..]) => StoreOp::Get(path.trim_start_matches("/kv/").into()),
             ("DELETE", _) => StoreOp::EndLease(lease(1)),
-            ("POST", ["leases", _, "touch"]) => StoreOp::Touch(lease(1)),
+            ("POST", ["leases", _, "touch"]) => StoreOp::RenewLease(lease(1)),
             _ => {
                 let body = request.into_body().collect().await.expect("a body").to_bytes();
                 if path == "/txn" {
@@ -210,13 +210,13 @@
             self.changed.notify_waiters();
         }
         match answer {
-            StoreAnswer::Item(Some(item)) => reply(200, item),
-            StoreAnswer::Item(None) => reply(404, json!({"ledger": after})),
-            StoreAnswer::Page(page) => reply(200, page),
-            StoreAnswer::Committed(revision) => reply(200, Committed { revision }),
-            StoreAnswer::Refused(failed) => reply(409, Refused { failed }),
-            StoreAnswer::Lease(lease) => reply(200, Lease { lease }),
-            StoreAnswer::LeaseLives => reply(200, ()),
+            StoreResponse::Item(Some(item)) => reply(200, item),
+            StoreResponse::Item(None) => reply(404, json!({"ledger": after})),
+            StoreResponse::Page(page) => reply(200, page),
+            StoreResponse::Committed(revision) => reply(200, Committed { revision }),
+            StoreResponse::ConditionsFailed(failed) => reply(409, Refused { failed }),
+            StoreResponse::Lease(lease) => reply(200, Lease { lease }),
+            StoreResponse::LeaseOk => reply(200, ()),
             _ => reply(if path == "/txn" { 400 } else { 404 }, json!({"error": "no such lease"})),
         }
     }
@@ -234,13 +234,13 @@
         let answer = self.cloud.borrow_mut().execute(self.now(), &op);
         self.workers.borrow_mut().retain(|name, _| self.cloud.borrow().machines.contains_key(name));
         match answer {
-            CloudAnswer::Types(types) => reply(200, Types { types }),
-            CloudAnswer::Rented(machines) => reply(200, Names { machines }),
-            CloudAnswer::Listing(mut listing) => {
+            CloudResponse::Types(types) => reply(200, Types { types }),
+            CloudResponse::Rented(machines) => reply(200, Names { machines }),
+            CloudResponse::Listing(mut listing) => {
                 listing.machines.iter_mut().for_each(|m| m.addr = address(&m.id).to_string());
                 reply(200, listing)
             }
-            CloudAnswer::Released => reply(200, ()),
+            CloudResponse::Released => reply(200, ()),
             _ => reply(503, json!({"error": "no capacity"})),
         }
     }
--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use rushyoke_core::{CloudAnswer, CloudOp};
+use rushyoke_core::{CloudOp, CloudResponse};
 use rushyoke_wire::cloud::{Listed, Listing, MachineType, Phase};
 
 /// Machines in one answer to a list.
@@ -79,31 +79,31 @@
     }
 
     /// Carries out a call.
-    pub fn execute(&mut self, now: Duration, op: &CloudOp) -> CloudAnswer {
+    pub fn execute(&mut self, now: Duration, op: &CloudOp) -> CloudResponse {
         if self.outage {
-            return CloudAnswer::Unavailable;
+            return CloudResponse::Unavailable;
         }
         match op {
-            CloudOp::Types => CloudAnswer::Types(self.types.clone()),
+            CloudOp::Types => CloudResponse::Types(self.types.clone()),
             CloudOp::Rent(rental) => {
                 if let Some(names) = self.requests.get(&rental.request) {
-                    return CloudAnswer::Rented(names.clone());
+                    return CloudResponse::Rented(names.clone());
                 }
                 let free = self.capacity.saturating_sub(self.machines.len() as u32);
                 if free == 0 {
-                    return CloudAnswer::NoCapacity;
+                    return CloudResponse::NoCapacity;
                 }
                 self.rentals += 1;
                 let names: Vec<String> =
                     (0..rental.count.min(free)).map(|_| self.add(now, &rental.zone, rental.spot)).collect();
                 self.requests.insert(rental.request.clone(), names.clone());
-                CloudAnswer::Rented(names)
+                CloudResponse::Rented(names)
             }
             CloudOp::Release(names) => {
                 for name in names {
                     self.machines.remove(name);
                 }
-                CloudAnswer::Released
+                CloudResponse::Released
             }
             CloudOp::List { after } => {
                 let rows = self.machines.iter().filter(|(name, _)| after.as_ref().is_none_or(|a| *name > a));
@@ -117,7 +117,7 @@
                     age_s: (now - m.since).as_secs_f64(),
                 });
                 let page = machines.by_ref().take(PAGE).collect();
-                CloudAnswer::Listing(Listing { machines: page, more: machines.next().is_some() })
+                CloudResponse::Listing(Listing { machines: page, more: machines.next().is_some() })
             }
         }
     }
--- a/crates/testkit/src/deployment.rs
+++ b/crates/testkit/src/deployment.rs
@@ -12,20 +12,20 @@
     let team = |cpus, cpus_max| Team { cpus, cpus_max, gpus: 0.0, gpus_max: 0.0 };
     Facts {
         label: label(node),
-        others: (0..nodes).filter(|n| *n != node).map(label).collect(),
-        locations: BTreeMap::new(),
+        peers: (0..nodes).filter(|n| *n != node).map(label).collect(),
+        controller_zones: BTreeMap::new(),
         teams: BTreeMap::from([("red".into(), team(32.0, 64.0)), ("blue".into(), team(32.0, 64.0))]),
         objectives: Vec::new(),
-        report: Duration::from_secs(2),
-        lease: Duration::from_secs(12),
-        cancel: Duration::from_secs(30),
+        report_interval: Duration::from_secs(2),
+        worker_lease: Duration::from_secs(12),
+        cancel_limit: Duration::from_secs(30),
         txn_ops: 16,
         value_bytes: 8192,
         write_rps: 150.0,
-        list_lag: Duration::from_secs(4),
+        cloud_list_lag: Duration::from_secs(4),
         cloud_rps: 4.0,
-        orders_at_once: 64,
-        job_bytes: 8 << 20,
+        max_direct_calls: 64,
+        max_job_bytes: 8 << 20,
     }
 }
 
--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/rules.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use rushyoke_core::{Answer, Input};
+use rushyoke_core::{HttpResponse, Input};
 use rushyoke_wire::job::{JobStatus, JobView};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -73,7 +73,7 @@
         cancel: Duration,
         node: usize,
         question: &Question,
-        answer: &Answer,
+        answer: &HttpResponse,
     ) {
         let Question { kind, job, accepted, over } = question;
         if *kind == Kind::Other {
--- a/crates/testkit/src/store.rs
+++ b/crates/testkit/src/store.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use rushyoke_core::{StoreAnswer, StoreOp};
+use rushyoke_core::{StoreOp, StoreResponse};
 use rushyoke_wire::store::{Changes, Event, Item, Page, Txn, Write};
 use serde_json::Value;
 
@@ -90,9 +90,9 @@
     }
 
     /// The answer to a watch if there is something to tell.
-    pub fn watch(&self, prefix: &str, after: u64) -> Option<StoreAnswer> {
+    pub fn watch(&self, prefix: &str, after: u64) -> Option<StoreResponse> {
         if self.log.len() >= self.kept && self.log.first().is_some_and(|(r, _)| *r > after + 1) {
-            return Some(StoreAnswer::TooOld);
+            return Some(StoreResponse::Compacted);
         }
         let events: Vec<Event> = self
             .log
@@ -104,15 +104,15 @@
             .map(|(_, event)| event.clone())
             .collect();
         let revision = self.revision;
-        (!events.is_empty()).then_some(StoreAnswer::Changes(Changes { revision, events }))
+        (!events.is_empty()).then_some(StoreResponse::Changes(Changes { revision, events }))
     }
 
     /// Carries out a call.
-    pub fn execute(&mut self, now: Duration, op: &StoreOp) -> StoreAnswer {
+    pub fn execute(&mut self, now: Duration, op: &StoreOp) -> StoreResponse {
         self.expire(now);
         self.requests += 1;
         match op {
-            StoreOp::Get(key) => StoreAnswer::Item(self.rows.get(key).map(|(value, version, _)| Item {
+            StoreOp::Get(key) => StoreResponse::Item(self.rows.get(key).map(|(value, version, _)| Item {
                 key: key.clone(),
                 value: value.clone(),
                 version: *version,
@@ -131,31 +131,31 @@
                     .collect();
                 let more = rows.len() > self.page;
                 rows.truncate(self.page);
-                StoreAnswer::Page(Page { rows, more, revision: self.revision })
+                StoreResponse::Page(Page { rows, more, revision: self.revision })
             }
             StoreOp::Txn(txn) => self.txn(txn),
             StoreOp::NewLease { ttl_ms } => {
                 self.next_lease += 1;
                 let life = Duration::from_millis(*ttl_ms);
                 self.leases.insert(self.next_lease, (life, now + life));
-                StoreAnswer::Lease(self.next_lease)
+                StoreResponse::Lease(self.next_lease)
             }
-            StoreOp::Touch(lease) => match self.leases.get_mut(lease) {
+            StoreOp::RenewLease(lease) => match self.leases.get_mut(lease) {
                 Some((life, end)) => {
                     *end = now + *life;
-                    StoreAnswer::LeaseLives
+                    StoreResponse::LeaseOk
                 }
-                None => StoreAnswer::NoSuchLease,
+                None => StoreResponse::NoSuchLease,
             },
             StoreOp::EndLease(lease) => {
                 self.end_lease(*lease);
-                StoreAnswer::LeaseLives
+                StoreResponse::LeaseOk
             }
             StoreOp::Watch { .. } => unreachable!("watches are kept by the world"),
         }
     }
 
-    fn txn(&mut self, txn: &Txn) -> StoreAnswer {
+    fn txn(&mut self, txn: &Txn) -> StoreResponse {
         assert!(txn.writes.len() <= self.max_ops, "too many writes in a transaction");
         assert!(txn.conditions.len() <= 4 * self.max_ops, "too many conditions in a transaction");
         let size = serde_json::to_vec(txn).expect("transactions encode").len();
@@ -164,7 +164,7 @@
             if let Write::Put { lease: Some(lease), .. } = write
                 && !self.leases.contains_key(lease)
             {
-                return StoreAnswer::NoSuchLease;
+                return StoreResponse::NoSuchLease;
             }
         }
         let version = |key: &str| self.rows.get(key).map_or(0, |row| row.1);
@@ -174,7 +174,7 @@
             failed.truncate(1);
         }
         if !failed.is_empty() {
-            return StoreAnswer::Refused(failed);
+            return StoreResponse::ConditionsFailed(failed);
         }
         if !txn.writes.is_empty() {
             self.revision += 1;
@@ -197,6 +197,6 @@
             let excess = self.log.len() - self.kept;
             self.log.drain(..excess);
         }
-        StoreAnswer::Committed(self.revision)
+        StoreResponse::Committed(self.revision)
     }
 }
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -9,7 +9,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use rushyoke_core::{Answer, Call, CloudOp, Facts, Input, Node, Now, Outcome, Policy, Req, StoreAnswer, StoreOp};
+use rushyoke_core::{
+    CallId, CloudOp, Facts, HttpResponse, Input, Node, Now, Outcome, Policy, RequestId, StoreOp, StoreResponse,
+};
 use rushyoke_wire::job::JobSpec;
 use rushyoke_wire::worker::{Orders, Report};
 
@@ -27,17 +29,17 @@
 
 enum Event {
     ToNode { node: usize, incarnation: u64, input: Box<Input> },
-    Store { node: usize, incarnation: u64, call: Call, op: StoreOp, reply: bool },
-    Cloud { node: usize, incarnation: u64, call: Call, op: CloudOp, reply: bool },
-    Order { node: usize, incarnation: u64, call: Call, machine: String, orders: Orders, reply: bool },
+    Store { node: usize, incarnation: u64, call: CallId, op: StoreOp, reply: bool },
+    Cloud { node: usize, incarnation: u64, call: CallId, op: CloudOp, reply: bool },
+    Order { node: usize, incarnation: u64, call: CallId, machine: String, orders: Orders, reply: bool },
     Report { node: usize, machine: String, id: u64, report: Box<Report> },
-    ReportAnswer { machine: String, id: u64, answer: Answer },
+    ReportAnswer { machine: String, id: u64, answer: HttpResponse },
 }
 
 struct Watch {
     node: usize,
     incarnation: u64,
-    call: Call,
+    call: CallId,
     prefix: String,
     after: u64,
     until: Duration,
@@ -53,7 +55,7 @@
     User(u64, Question),
     Worker { machine: String, id: u64 },
     Peer { node: usize, incarnation: u64 },
-    Relay { node: usize, incarnation: u64, call: Call },
+    Relay { node: usize, incarnation: u64, call: CallId },
 }
 
 /// Nodes, state service, cloud, workers and users under one clock.
@@ -80,8 +82,8 @@
     events: BTreeMap<(Duration, u64), Event>,
     serial: u64,
     watches: Vec<Watch>,
-    askers: BTreeMap<(usize, Req), Asker>,
-    answers: BTreeMap<u64, Answer>,
+    askers: BTreeMap<(usize, RequestId), Asker>,
+    answers: BTreeMap<u64, HttpResponse>,
     /// Jobs that were submitted.
     pub specs: BTreeMap<String, JobSpec>,
     /// Jobs that a user was told are cancelled, and when.
@@ -268,9 +270,9 @@
         self.serial += 1;
         let incarnation = self.serial;
         let label = |n: usize| format!("node-{n}");
-        let others = (0..3).filter(|other| *other != n).map(label).collect();
+        let peers = (0..3).filter(|other| *other != n).map(label).collect();
         let told = self.facts_of.get(&n).unwrap_or(&self.facts).clone();
-        let facts = Facts { label: label(n), others, ..told };
+        let facts = Facts { label: label(n), peers, ..told };
         let policy = self.policy_of.get(&n).unwrap_or(&self.policy).clone();
         let node = Node::new(facts, policy, incarnation, self.clocks());
         self.slots[n] = Slot { node: Some(node), incarnation, next_tick: self.now };
@@ -341,7 +343,7 @@
                 if self.slots[n].next_tick <= self.now {
                     self.slots[n].next_tick = self.now + Duration::from_millis(50);
                     if let Some((share, late)) = self.busy.get(&n).copied() {
-                        self.give(n, Input::Busy { share, late });
+                        self.give(n, Input::ProcessorLoad { share, tick_delay: late });
                     }
                     self.give(n, Input::Tick);
                 }
@@ -371,10 +373,10 @@
             }
             let answer = self.store.watch(&watch.prefix, watch.after).or_else(|| {
                 let none = rushyoke_wire::store::Changes { revision: watch.after, events: Vec::new() };
-                (watch.until <= now).then_some(StoreAnswer::Changes(none))
+                (watch.until <= now).then_some(StoreResponse::Changes(none))
             });
             if let Some(answer) = answer {
-                due.push((watch.node, watch.incarnation, watch.call, Outcome::Answered(answer)));
+                due.push((watch.node, watch.incarnation, watch.call, Outcome::Responded(answer)));
                 return false;
             }
             true
@@ -451,11 +453,11 @@
         Input::Peer { .. } => "peer",
         Input::Store { .. } => "store",
         Input::Cloud { .. } => "cloud",
-        Input::Ordered { .. } => "ordered",
+        Input::OrderResponse { .. } => "ordered",
         Input::PeerResponse { .. } => "peer told",
         Input::Relay { .. } => "relay",
         Input::RelayResponse { .. } => "relay told",
-        Input::Busy { .. } => "busy",
+        Input::ProcessorLoad { .. } => "busy",
         Input::Tick => "tick",
     }
 }
--- a/crates/testkit/src/world/checks.rs
+++ b/crates/testkit/src/world/checks.rs
@@ -23,7 +23,9 @@
             for node in 0..self.slots.len() {
                 let asked: Vec<(String, u64)> = jobs
                     .iter()
-                    .map(|job| (job.clone(), self.ask(node, |req| Input::Status { req, id: job.clone() })))
+                    .map(|job| {
+                        (job.clone(), self.ask(node, |request_id| Input::Status { request_id, id: job.clone() }))
+                    })
                     .collect();
                 self.run(Duration::from_millis(350));
                 for (job, id) in asked {
@@ -95,7 +97,7 @@
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
         let mut zones: BTreeMap<&str, BTreeMap<&str, u32>> = BTreeMap::new();
         for worker in self.workers.values() {
-            if self.hang.contains_key(&worker.name) && self.now > worker.lease_from + self.facts.lease {
+            if self.hang.contains_key(&worker.name) && self.now > worker.lease_from + self.facts.worker_lease {
                 // Its tasks are dropped as soon as it goes on.
                 continue;
             }
@@ -107,7 +109,11 @@
                 *zones.entry(id).or_default().entry(&worker.zone).or_default() += 1;
                 assert!(spec.spot || !worker.spot, "{} runs on a spot machine", task.name);
                 if let Some(since) = self.cancelled.get(id) {
-                    assert!(self.now <= *since + self.facts.cancel, "{} runs although it is cancelled", task.name);
+                    assert!(
+                        self.now <= *since + self.facts.cancel_limit,
+                        "{} runs although it is cancelled",
+                        task.name
+                    );
                 }
             }
         }
--- a/crates/testkit/src/world/machines.rs
+++ b/crates/testkit/src/world/machines.rs
@@ -40,7 +40,7 @@
 
     pub(super) fn workers_pass(&mut self) {
         let (now, nodes) = (self.now, self.slots.len());
-        let (lease, period) = (self.facts.lease, self.facts.report);
+        let (lease, period) = (self.facts.worker_lease, self.facts.report_interval);
         let mut reports = Vec::new();
         self.hang.retain(|_, until| *until > now);
         self.interrupted.retain(|_, cut| cut.until > now);
--- a/crates/testkit/src/world/network.rs
+++ b/crates/testkit/src/world/network.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use rushyoke_core::{Answer, Call, CloudOp, Input, Outcome, Output, Req, StoreAnswer, StoreOp};
+use rushyoke_core::{CallId, CloudOp, HttpResponse, Input, Outcome, Output, RequestId, StoreOp, StoreResponse};
 use rushyoke_wire::peer::{PeerResponse, Relay, RelayResponse, decode};
 use rushyoke_wire::worker::{Elsewhere, Orders, Report};
 
@@ -18,7 +18,7 @@
     /// Carries what a node sends or answers.
     pub(super) fn output(&mut self, node: usize, output: Output) {
         match output {
-            Output::Answer { req, answer } => self.answered(node, req, answer),
+            Output::Response { request_id, response } => self.answered(node, request_id, response),
             Output::Store { call, op, .. } => self.store_called(node, call, op),
             Output::Cloud { call, op } => {
                 let incarnation = self.slots[node].incarnation;
@@ -31,10 +31,10 @@
             }
             Output::Order { call, addr: machine, orders, .. } => self.worker_called(node, call, machine, orders),
             Output::Peer { label, request } => match self.peer(node, &label) {
-                Some((other, req)) => {
+                Some((other, request_id)) => {
                     let incarnation = self.slots[node].incarnation;
-                    self.askers.insert((other, req), Asker::Peer { node, incarnation });
-                    self.input_at(self.now + HOP, other, Input::Peer { req, request });
+                    self.askers.insert((other, request_id), Asker::Peer { node, incarnation });
+                    self.input_at(self.now + HOP, other, Input::Peer { request_id, request });
                 }
                 None => {
                     let input = Input::PeerResponse { label, outcome: Outcome::Unknown };
@@ -51,10 +51,10 @@
         self.push(at, Event::ToNode { node, incarnation, input: Box::new(input) });
     }
 
-    fn answered(&mut self, node: usize, req: Req, answer: Answer) {
-        match self.askers.remove(&(node, req)) {
+    fn answered(&mut self, node: usize, request_id: RequestId, answer: HttpResponse) {
+        match self.askers.remove(&(node, request_id)) {
             Some(Asker::User(id, question)) => {
-                self.rules.answered(self.now, self.facts.cancel, node, &question, &answer);
+                self.rules.answered(self.now, self.facts.cancel_limit, node, &question, &answer);
                 self.answers.insert(id, answer);
             }
             Some(Asker::Worker { machine, id })
@@ -65,26 +65,26 @@
             }
             Some(Asker::Relay { node: asker, incarnation, call }) => {
                 let response = decode::<RelayResponse>(&answer.body).expect("peers answer well");
-                let input = Box::new(Input::RelayResponse { call, outcome: Outcome::Answered(response) });
+                let input = Box::new(Input::RelayResponse { call, outcome: Outcome::Responded(response) });
                 let at = self.hold_relays.unwrap_or_default().max(self.now + HOP);
                 self.push(at, Event::ToNode { node: asker, incarnation, input });
             }
             Some(Asker::Peer { node: asker, incarnation }) => {
                 let response = decode::<PeerResponse>(&answer.body).expect("peers answer well");
                 let label = format!("node-{node}");
-                let input = Box::new(Input::PeerResponse { label, outcome: Outcome::Answered(response) });
+                let input = Box::new(Input::PeerResponse { label, outcome: Outcome::Responded(response) });
                 self.push(self.now + HOP, Event::ToNode { node: asker, incarnation, input });
             }
             _ => {}
         }
     }
 
-    fn store_called(&mut self, node: usize, call: Call, op: StoreOp) {
+    fn store_called(&mut self, node: usize, call: CallId, op: StoreOp) {
         let (now, incarnation) = (self.now, self.slots[node].incarnation);
         let watch = matches!(op, StoreOp::Watch { .. });
         if self.no_store.contains(&node) || watch && self.store.outage {
             // Watches that are open wait; a new one is refused like all else.
-            let outcome = Outcome::Answered(StoreAnswer::Unavailable);
+            let outcome = Outcome::Responded(StoreResponse::Unavailable);
             self.input_at(now + HOP, node, Input::Store { call, outcome });
             return;
         }
@@ -94,7 +94,7 @@
             return;
         }
         let unanswered = Input::Store { call, outcome: Outcome::Unknown };
-        let touch = matches!(op, StoreOp::Touch(_));
+        let touch = matches!(op, StoreOp::RenewLease(_));
         let txn = matches!(op, StoreOp::Txn(_));
         let lost = touch && self.lose_touches > 0;
         self.lose_touches -= u32::from(lost);
@@ -120,7 +120,7 @@
         }
     }
 
-    fn worker_called(&mut self, node: usize, call: Call, machine: String, orders: Orders) {
+    fn worker_called(&mut self, node: usize, call: CallId, machine: String, orders: Orders) {
         let (now, incarnation) = (self.now, self.slots[node].incarnation);
         let bytes = serde_json::to_vec(&orders).expect("orders encode").len();
         assert!(bytes <= LONGEST_LINE, "a call of {bytes} bytes to {machine}");
@@ -135,39 +135,39 @@
         let interruption = self.interrupted.get(&machine).copied();
         let held_by_cut = interruption.filter(|cut| cut.connected).map(|cut| cut.until);
         if unreachable || interruption.is_some_and(|cut| !cut.connected) {
-            self.input_at(now + CALL_LIMIT, node, Input::Ordered { call, outcome: Outcome::NotDone });
+            self.input_at(now + CALL_LIMIT, node, Input::OrderResponse { call, outcome: Outcome::NotExecuted });
         } else if let Some(until) = held_by_cut.or(self.hold_orders.get(&machine).copied()) {
-            self.input_at(now + CALL_LIMIT, node, Input::Ordered { call, outcome: Outcome::Unknown });
+            self.input_at(now + CALL_LIMIT, node, Input::OrderResponse { call, outcome: Outcome::Unknown });
             self.push(until, Event::Order { node, incarnation, call, machine, orders, reply: false });
         } else {
             self.push(now + HOP, Event::Order { node, incarnation, call, machine, orders, reply: true });
         }
     }
 
-    fn relayed_to(&mut self, node: usize, call: Call, label: &str, relay: Relay) {
+    fn relayed_to(&mut self, node: usize, call: CallId, label: &str, relay: Relay) {
         let unanswered = Input::RelayResponse { call, outcome: Outcome::Unknown };
-        let Some((other, req)) = self.peer(node, label) else {
+        let Some((other, request_id)) = self.peer(node, label) else {
             self.input_at(self.now + HOP, node, unanswered);
             return;
         };
         self.relayed += relay.reports.len() as u64;
         self.relayed_full += relay.reports.iter().filter(|r| r.full.is_some()).count() as u64;
         let incarnation = self.slots[node].incarnation;
-        self.askers.insert((other, req), Asker::Relay { node, incarnation, call });
-        self.input_at(self.now + HOP, other, Input::Relay { req, relay });
+        self.askers.insert((other, request_id), Asker::Relay { node, incarnation, call });
+        self.input_at(self.now + HOP, other, Input::Relay { request_id, relay });
         // The answer may be lost with the other node.
         self.input_at(self.now + RELAY_LIMIT, node, unanswered);
     }
 
     /// The other node by its label and a request to it, unless the two are out of reach.
-    fn peer(&mut self, node: usize, label: &str) -> Option<(usize, Req)> {
+    fn peer(&mut self, node: usize, label: &str) -> Option<(usize, RequestId)> {
         let other: usize = label.trim_start_matches("node-").parse().expect("labels end in a number");
         let lost = |n: &usize| self.adrift.contains(n) || self.no_peers.contains(n);
         if self.slots[other].node.is_none() || lost(&node) || lost(&other) {
             return None;
         }
         self.serial += 1;
-        Some((other, Req(self.serial)))
+        Some((other, RequestId(self.serial)))
     }
 
     /// Something arrives.
@@ -175,7 +175,7 @@
         match event {
             Event::ToNode { node, incarnation, input } => {
                 if self.slots[node].incarnation == incarnation {
-                    if matches!(*input, Input::Ordered { .. }) && self.slots[node].node.is_some() {
+                    if matches!(*input, Input::OrderResponse { .. }) && self.slots[node].node.is_some() {
                         *self.orders.entry(node).or_default() -= 1;
                     }
                     self.give(node, *input);
@@ -183,8 +183,8 @@
             }
             Event::Store { node, incarnation, call, op, reply } => {
                 let answer =
-                    if self.store.outage { StoreAnswer::Unavailable } else { self.store.execute(self.now, &op) };
-                let committed = u32::from(!reply && matches!(answer, StoreAnswer::Committed(_)));
+                    if self.store.outage { StoreResponse::Unavailable } else { self.store.execute(self.now, &op) };
+                let committed = u32::from(!reply && matches!(answer, StoreResponse::Committed(_)));
                 if self.lose_answers.contains(&node) {
                     self.unanswered += committed;
                 } else {
@@ -193,7 +193,7 @@
                 if reply {
                     let user = matches!(op, StoreOp::Txn(_) | StoreOp::Get(_));
                     let held = self.hold_answers.get(&node).copied().filter(|_| user).unwrap_or_default();
-                    let input = Box::new(Input::Store { call, outcome: Outcome::Answered(answer) });
+                    let input = Box::new(Input::Store { call, outcome: Outcome::Responded(answer) });
                     self.push(held.max(self.now + HOP), Event::ToNode { node, incarnation, input });
                 }
             }
@@ -202,7 +202,7 @@
                 let rented = &self.cloud.machines;
                 self.workers.retain(|name, _| rented.contains_key(name));
                 if reply {
-                    let input = Box::new(Input::Cloud { call, outcome: Outcome::Answered(answer) });
+                    let input = Box::new(Input::Cloud { call, outcome: Outcome::Responded(answer) });
                     self.push(self.now + HOP, Event::ToNode { node, incarnation, input });
                 }
             }
@@ -213,11 +213,11 @@
                     return;
                 }
                 self.serial += 1;
-                let req = Req(self.serial);
-                self.askers.insert((node, req), Asker::Worker { machine, id });
+                let request_id = RequestId(self.serial);
+                self.askers.insert((node, request_id), Asker::Worker { machine, id });
                 let tasks = serde_json::value::to_raw_value(&report.tasks).expect("tasks encode");
                 let report = Box::new(Report { tasks: Vec::new(), ..*report });
-                self.give(node, Input::Report { req, report, unread: Some(tasks) });
+                self.give(node, Input::Report { request_id, report, unparsed_tasks: Some(tasks) });
             }
             Event::ReportAnswer { machine, id, answer } => self.report_answered(&machine, id, &answer),
         }
@@ -227,7 +227,7 @@
     fn orders_arrive(&mut self, event: Event) {
         let Event::Order { node, incarnation, call, machine, orders, reply } = event else { return };
         let now = self.now;
-        let unanswered = Box::new(Input::Ordered { call, outcome: Outcome::Unknown });
+        let unanswered = Box::new(Input::OrderResponse { call, outcome: Outcome::Unknown });
         if let Some(until) = self.hang.get(&machine).copied() {
             if reply {
                 self.push(now + CALL_LIMIT, Event::ToNode { node, incarnation, input: unanswered });
@@ -246,12 +246,12 @@
         let status = worker.direct(now, &orders);
         let report = worker.report();
         if reply {
-            let input = Box::new(Input::Ordered { call, outcome: Outcome::Answered((status, report)) });
+            let input = Box::new(Input::OrderResponse { call, outcome: Outcome::Responded((status, report)) });
             self.push(now + HOP, Event::ToNode { node, incarnation, input });
         }
     }
 
-    fn report_answered(&mut self, machine: &str, id: u64, answer: &Answer) {
+    fn report_answered(&mut self, machine: &str, id: u64, answer: &HttpResponse) {
         let now = self.now;
         if self.cut.contains(machine)
             || self.deaf.contains(machine)
