--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -42,11 +42,11 @@
         let (priority, due_ms) = (job.effective_priority, job.effective_deadline_ms);
         let mut lost = false;
         for dependency in &dependencies {
-            self.awaited.dependents.entry(dependency.clone()).or_default().insert(name.clone());
+            self.dependencies.dependents.entry(dependency.clone()).or_default().insert(name.clone());
             match self.jobs.get(dependency) {
                 Some(dependency) => lost |= dependency.cancelled,
                 None => {
-                    self.awaited.unread.insert(dependency.clone());
+                    self.dependencies.unread.insert(dependency.clone());
                 }
             }
         }
@@ -77,7 +77,7 @@
         while let Some(name) = left.pop() {
             let Some(job) = self.jobs.get(&name).filter(|job| !job.cancelled) else { continue };
             let (mut priority, mut due_ms) = (job.spec.priority, job.own_deadline_ms());
-            let dependents = self.awaited.dependents.get(&name).into_iter().flatten();
+            let dependents = self.dependencies.dependents.get(&name).into_iter().flatten();
             for dependent in dependents.filter_map(|id| self.jobs.get(id)).filter(|job| !job.cancelled) {
                 priority = priority.max(dependent.effective_priority);
                 due_ms = earlier_deadline(due_ms, dependent.effective_deadline_ms);
@@ -94,7 +94,7 @@
 
     /// A job has ended durably: those that await it go on, or end with it.
     pub fn dependency_ended(&mut self, env: &mut Env, dependency: &Name, state: RecordState) {
-        let Some(dependents) = self.awaited.dependents.remove(dependency) else {
+        let Some(dependents) = self.dependencies.dependents.remove(dependency) else {
             return;
         };
         if state == RecordState::Cancelled {
@@ -107,7 +107,7 @@
             if !job.is_blocked() {
                 tracing::debug!(job = &*name, "all that it awaits is done");
                 job.eligible_ms = env.now.wall_ms;
-                self.place_due = true;
+                self.scheduling_due = true;
             }
         }
     }
@@ -122,8 +122,8 @@
             tracing::debug!(job = &*name, "a job that it needs was cancelled");
             job.orphaned = true;
             needed.extend(job.pending_dependencies.iter().cloned());
-            self.stop_cancelled(env, &name);
-            left.extend(self.awaited.dependents.remove(&name).into_iter().flatten());
+            self.stop_cancelled_job(env, &name);
+            left.extend(self.dependencies.dependents.remove(&name).into_iter().flatten());
         }
         self.recompute_priorities(needed);
     }
@@ -131,7 +131,7 @@
     /// A user cancelled a job: nothing of it starts any more, all that is there must go, and so must
     /// all that needs it.
     pub fn job_cancelled(&mut self, env: &mut Env, name: &Name) {
-        self.stop_cancelled(env, name);
+        self.stop_cancelled_job(env, name);
         let needed = self.jobs.get(name).map(|job| job.pending_dependencies.clone()).unwrap_or_default();
         self.recompute_priorities(needed);
         self.dependency_ended(env, name, RecordState::Cancelled);
@@ -140,11 +140,11 @@
     /// A job is forgotten, and awaits nothing any more.
     pub fn unlink_dependencies(&mut self, job: &Job) {
         for dependency in &job.spec.dependencies {
-            if let Some(dependents) = self.awaited.dependents.get_mut(dependency.as_str()) {
+            if let Some(dependents) = self.dependencies.dependents.get_mut(dependency.as_str()) {
                 dependents.remove(&job.id);
                 if dependents.is_empty() {
-                    self.awaited.dependents.remove(dependency.as_str());
-                    self.awaited.unread.remove(dependency.as_str());
+                    self.dependencies.dependents.remove(dependency.as_str());
+                    self.dependencies.unread.remove(dependency.as_str());
                 }
             }
         }
@@ -153,21 +153,21 @@
     /// Reads how awaited jobs ended that are not in the table.
     pub fn read_dependencies(&mut self, env: &mut Env) {
         let now = env.steady();
-        if self.awaited.unread.is_empty() || self.awaited.retry.is_some_and(|from| from > now) {
+        if self.dependencies.unread.is_empty() || self.dependencies.retry.is_some_and(|from| from > now) {
             return;
         }
-        while self.awaited.reading.len() < MAX_READS {
-            let Some(dependency) = self.awaited.unread.pop_first() else { return };
-            if self.awaited.reading.insert(dependency.clone()) {
+        while self.dependencies.reading.len() < MAX_READS {
+            let Some(dependency) = self.dependencies.unread.pop_first() else { return };
+            if self.dependencies.reading.insert(dependency.clone()) {
                 let op = StoreOp::Get(job_key(&dependency));
-                env.store(Purpose::Load(LoadCall::Dependency(dependency)), Urgency::High, op);
+                env.call_store(Purpose::Load(LoadCall::Dependency(dependency)), Urgency::High, op);
             }
         }
     }
 
-    pub fn dependency_read_outcome(&mut self, env: &mut Env, dependency: Name, outcome: Outcome<StoreAnswer>) {
-        self.awaited.reading.remove(&dependency);
-        if let Outcome::Answered(StoreAnswer::Item(Some(item))) = outcome
+    pub fn dependency_read_outcome(&mut self, env: &mut Env, dependency: Name, outcome: Outcome<StoreResponse>) {
+        self.dependencies.reading.remove(&dependency);
+        if let Outcome::Responded(StoreResponse::Item(Some(item))) = outcome
             && let Ok(record) = serde_json::from_value::<JobRecord>(item.value)
         {
             if record.state != RecordState::Open {
@@ -179,9 +179,9 @@
                 return;
             }
         }
-        if self.awaited.dependents.contains_key(&dependency) {
-            self.awaited.unread.insert(dependency);
-            self.awaited.retry = Some(env.steady() + RETRY_DELAY);
+        if self.dependencies.dependents.contains_key(&dependency) {
+            self.dependencies.unread.insert(dependency);
+            self.dependencies.retry = Some(env.steady() + RETRY_DELAY);
         }
     }
 }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -78,7 +78,7 @@
 impl Term {
     pub fn update_machine_types(&mut self, env: &Env) {
         for machine in self.machines.values_mut() {
-            let kind = env.type_named(&machine.kind);
+            let kind = env.machine_type(&machine.kind);
             machine.apply_type(kind);
         }
     }
@@ -99,7 +99,7 @@
         }
         self.destination_gone(name);
         self.renting.mark_gone(name, GONE_KEPT.max(GONE_PER_MACHINE * self.machines.len()));
-        self.place_due = true;
+        self.scheduling_due = true;
     }
 
     /// The cloud's list names this machine.
@@ -127,7 +127,7 @@
             machine.zone = listed.zone.clone();
             self.zones.insert(listed.zone.clone());
             machine.spot = listed.spot;
-            machine.apply_type(env.type_named(&listed.kind));
+            machine.apply_type(env.machine_type(&listed.kind));
         }
         if machine.addr.is_empty() {
             machine.addr = listed.addr.clone();
--- a/crates/core/src/fleet/survey.rs
+++ b/crates/core/src/fleet/survey.rs
@@ -47,7 +47,7 @@
             let free =
                 |m: &&Machine| m.up && !m.releasing && !m.unverified && m.direct_call.is_none() && !m.addr.is_empty();
             let others: Vec<Name> = self.machines.values().filter(free).map(|m| m.name.clone()).collect();
-            let most = ask.min(self.free_calls(env));
+            let most = ask.min(self.available_direct_calls(env));
             let sample: Vec<Name> = others.into_iter().sample(&mut env.rng, most);
             sample.iter().for_each(|name| self.probe(env, name));
             (self.survey.started_at, self.survey.sample) = (Some(now), sample);
@@ -102,10 +102,10 @@
     /// cut off with it may go on answering it; one that is known to be silent fell before its
     /// key did.
     pub(super) fn likely_lease_end(&self, env: &Env, machine: &Machine) -> Instant {
-        let lease = env.facts.lease;
+        let lease = env.facts.worker_lease;
         match machine.fenced {
             Some(_) => machine.last_heard + lease,
-            None if self.old_known => self.since + lease.saturating_sub(env.policy.lead_ttl),
+            None if self.predecessors_known_inactive => self.started_at + lease.saturating_sub(env.policy.leader_lease),
             None => self.lease_bounds(env).expires_at(machine),
         }
     }
@@ -115,7 +115,7 @@
     /// silent it may be this node's network. Each mistake would be a hundred machines.
     pub fn fleet_view_unreliable(&self, env: &Env) -> bool {
         let asking = self.survey.started_at.is_some_and(|at| env.steady().duration_since(at) < SURVEY_ANSWERED);
-        (self.inherited && !self.renting.fleet_listed) || self.survey.most_unreachable || asking
+        (self.machines_inherited && !self.renting.fleet_listed) || self.survey.most_unreachable || asking
     }
 
     /// Whether many machines are silent or a sample is asked: no time to move work.
--- a/crates/core/src/rent/releases.rs
+++ b/crates/core/src/rent/releases.rs
@@ -24,7 +24,7 @@
     /// waits and what is kept free would fit. `need` counts CPUs.
     pub(super) fn choose_retiring(&mut self, env: &mut Env, need: f64) {
         let now = env.steady();
-        let window = env.policy.idle;
+        let window = env.policy.idle_timeout;
         self.renting.recent_needs.push_back((now, need));
         while self.renting.recent_needs.front().is_some_and(|(t, _)| now.duration_since(*t) > window) {
             self.renting.recent_needs.pop_front();
@@ -176,7 +176,7 @@
     pub(super) fn release_idle(&mut self, env: &mut Env, now: Instant) {
         let mut lost = Vec::new();
         for machine in self.machines.values() {
-            let boot = env.type_named(&machine.kind).map_or(60.0, |k| k.boot_s.max(1.0));
+            let boot = env.machine_type(&machine.kind).map_or(60.0, |k| k.boot_s.max(1.0));
             let age = now.duration_since(machine.known_since).as_secs_f64();
             if machine.releasing {
                 if machine.release_sent.is_none() {
@@ -249,7 +249,7 @@
         }
         renting.release_in_flight = true;
         let list = names.iter().map(|n| n.to_string()).collect();
-        env.cloud(Purpose::Rent(RentCall::Release(names)), CloudOp::Release(list));
+        env.call_cloud(Purpose::Rent(RentCall::Release(names)), CloudOp::Release(list));
     }
 }
 
--- a/crates/core/src/users.rs
+++ b/crates/core/src/users.rs
@@ -25,20 +25,20 @@
 const QUERY_TIMEOUT: Duration = Duration::from_millis(1600);
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(4000);
 
-fn store_unresponsive() -> Answer {
-    Answer::later(503, "the state service did not answer")
+fn store_unresponsive() -> HttpResponse {
+    HttpResponse::later(503, "the state service did not answer")
 }
 
 impl Node {
     /// Takes a request among those that wait, or turns it away at once.
-    fn admit_request(&mut self, request: Req, limit: Duration) -> bool {
+    fn admit_request(&mut self, request: RequestId, limit: Duration) -> bool {
         let now = self.env.steady();
-        if self.store.down(now) {
-            self.env.answer(request, Answer::later(503, "the state service does not answer"));
+        if self.store_health.is_down(now) {
+            self.env.respond(request, HttpResponse::later(503, "the state service does not answer"));
             return false;
         }
         if self.users.pending.len() >= MAX_PENDING_REQUESTS {
-            self.env.answer(request, Answer::later(429, "too many requests at once"));
+            self.env.respond(request, HttpResponse::later(429, "too many requests at once"));
             return false;
         }
         self.users.pending.insert(request, now + limit);
@@ -46,16 +46,16 @@
     }
 
     /// Answers a request unless that was done before.
-    fn respond(&mut self, request: Req, answer: Answer) {
+    fn respond(&mut self, request: RequestId, answer: HttpResponse) {
         if self.users.pending.remove(&request).is_some() {
-            self.env.answer(request, answer);
+            self.env.respond(request, answer);
         }
     }
 
-    pub(crate) fn status(&mut self, request: Req, id: String) {
+    pub(crate) fn status(&mut self, request: RequestId, id: String) {
         if let Some(cached) = self.users.final_state(&id) {
             let answer = self.job_view(&id, &cached);
-            self.env.answer(request, answer);
+            self.env.respond(request, answer);
             return;
         }
         if self.admit_request(request, QUERY_TIMEOUT) {
@@ -72,7 +72,7 @@
                 if state != RecordState::Open {
                     self.users.progress.remove(id);
                 }
-                self.users.cache.insert(id, cached.clone(), self.env.policy.known_jobs);
+                self.users.cache.insert(id, cached.clone(), self.env.policy.job_cache_size);
                 Some(cached)
             }
             Err(error) => {
@@ -82,7 +82,7 @@
         }
     }
 
-    pub(crate) fn user_call_outcome(&mut self, call: UserCall, outcome: Outcome<StoreAnswer>) {
+    pub(crate) fn user_call_outcome(&mut self, call: UserCall, outcome: Outcome<StoreResponse>) {
         match call {
             UserCall::Compare { jobs } => self.comparison_outcome(jobs, outcome),
             UserCall::Read { job, requests } => self.read_outcome(job, requests, outcome),
@@ -100,11 +100,15 @@
     /// A request that takes too long is answered while its user still listens.
     pub(crate) fn expire_user_requests(&mut self) {
         let now = self.env.steady();
-        let down = self.store.down(now);
-        let late: Vec<Req> =
-            self.users.pending.iter().filter(|(_, until)| down || **until <= now).map(|(req, _)| *req).collect();
-        for req in late {
-            self.respond(req, Answer::later(503, "the state service did not answer in time"));
+        let down = self.store_health.is_down(now);
+        let late: Vec<RequestId> = self
+            .users
+            .pending.iter()
+            .filter(|(_, until)| down || **until <= now)
+            .map(|(request_id, _)| *request_id)
+            .collect();
+        for request_id in late {
+            self.respond(request_id, HttpResponse::later(503, "the state service did not answer in time"));
         }
     }
 }
--- a/crates/core/src/users/state.rs
+++ b/crates/core/src/users/state.rs
@@ -7,7 +7,7 @@
 
 use super::cache::{Ancestors, CachedJob, JobCache};
 use super::lookup_queue::LookupQueue;
-use crate::io::Req;
+use crate::io::RequestId;
 use crate::jobs::RecordState;
 
 /// A node's side of users' requests.
@@ -20,7 +20,7 @@
     /// The leader holds as many unfinished jobs as it can.
     pub job_limit_reached: bool,
     /// Requests not yet answered, and when to give up on them.
-    pub(super) pending: BTreeMap<Req, Instant>,
+    pub(super) pending: BTreeMap<RequestId, Instant>,
 }
 
 impl UserRequests {
