--- a/crates/balance/src/balancer.rs
+++ b/crates/balance/src/balancer.rs
@@ -5,15 +5,15 @@
 use std::fmt;
 use std::time::{Duration, Instant};
 
+use crate::cost::CostModel;
 use crate::load::{LoadModel, MachineInfo};
-use crate::moves::{GiveUp, Move, MoveEnd, MoveState, Moves};
-use crate::pace::Pace;
+use crate::moves::{GiveUpReason, Move, MoveEnd, MoveState, Moves};
 use crate::planner::{FleetView, Planner, Proposal};
-use crate::price::Pricing;
+use crate::rate_limit::MoveRateLimiter;
 use crate::record::{OpenMove, OpenMoves};
 use crate::resources::Resources;
 use crate::settings::Settings;
-use crate::shares::{Borrow, Shares};
+use crate::shares::{BorrowRequest, FairShares};
 use crate::{Name, TaskKey};
 
 /// What a step after the booking may take, beside the task's own time to save.
@@ -35,11 +35,11 @@
     /// Moves that ended with the task running at its destination.
     pub confirmed: u64,
     /// Moves given up, by reason.
-    pub given_up: Vec<(GiveUp, u64)>,
+    pub given_up: Vec<(GiveUpReason, u64)>,
     /// Moves that are open.
     pub open: usize,
     /// Jobs held back for other teams now.
-    pub held: usize,
+    pub held_jobs: usize,
 }
 
 impl fmt::Display for Summary {
@@ -47,7 +47,7 @@
         write!(
             formatter,
             "machines {}, mean use {:.2}, variation {:.2}, jain {:.2}, moves begun {}, confirmed {}, open {}, jobs held {}",
-            self.machines, self.mean, self.variation, self.jain, self.begun, self.confirmed, self.open, self.held
+            self.machines, self.mean, self.variation, self.jain, self.begun, self.confirmed, self.open, self.held_jobs
         )?;
         for (reason, count) in &self.given_up {
             write!(formatter, ", given up {reason:?} {count}")?;
@@ -61,12 +61,12 @@
 pub struct Balancer {
     settings: Settings,
     load: LoadModel,
-    shares: Shares,
+    shares: FairShares,
     moves: Moves,
-    pace: Pace,
+    rate_limit: MoveRateLimiter,
     begun: u64,
     confirmed: u64,
-    given_up: BTreeMap<GiveUp, u64>,
+    given_up: BTreeMap<GiveUpReason, u64>,
 }
 
 impl Balancer {
@@ -75,9 +75,9 @@
         Balancer {
             settings,
             load: LoadModel::default(),
-            shares: Shares::new(teams),
+            shares: FairShares::new(teams),
             moves: Moves::default(),
-            pace: Pace::default(),
+            rate_limit: MoveRateLimiter::default(),
             begun: 0,
             confirmed: 0,
             given_up: BTreeMap::new(),
@@ -95,7 +95,7 @@
     }
 
     /// Fair shares of teams.
-    pub fn shares(&self) -> &Shares {
+    pub fn shares(&self) -> &FairShares {
         &self.shares
     }
 
@@ -105,25 +105,25 @@
     }
 
     /// Expected times.
-    pub fn pricing(&self) -> Pricing {
-        Pricing::new(&self.settings)
+    pub fn cost_model(&self) -> CostModel {
+        CostModel::new(&self.settings)
     }
 
     /// What the core knows of a machine.
-    pub fn machine(&mut self, name: &Name, info: MachineInfo) {
+    pub fn update_machine(&mut self, name: &Name, info: MachineInfo) {
         self.load.set_machine(name, info);
     }
 
     /// A machine is gone; returns the moves that end with it, to be given up.
-    pub fn machine_gone(&mut self, name: &Name) -> Vec<TaskKey> {
+    pub fn remove_machine(&mut self, name: &Name) -> Vec<TaskKey> {
         self.load.remove_machine(name);
-        self.pace.forget(name);
-        self.moves.bound_for(name)
+        self.rate_limit.forget_machine(name);
+        self.moves.unplaced_moves_to(name)
     }
 
     /// A task has a place. If the move of it brought it there, room is booked no more.
-    pub fn placed(&mut self, now: Instant, key: &TaskKey, machine: &Name, team: &Name, need: Resources) {
-        self.load.place(key, machine, team, need);
+    pub fn task_placed(&mut self, now: Instant, key: &TaskKey, machine: &Name, team: &Name, need: Resources) {
+        self.load.add_task(key, machine, team, need);
         let Some(open) = self.moves.get(key) else { return };
         if open.state != MoveState::Vacated || open.to != *machine {
             return;
@@ -134,43 +134,43 @@
     }
 
     /// A task was seen running.
-    pub fn running(&mut self, key: &TaskKey) -> Option<(Move, MoveEnd)> {
-        self.load.running(key);
+    pub fn task_running(&mut self, key: &TaskKey) -> Option<(Move, MoveEnd)> {
+        self.load.mark_running(key);
         match self.moves.get(key)?.state {
             MoveState::Placed => self.end(key, MoveEnd::Confirmed),
             // Its stop was never sent or may still come; it is not sent again.
-            MoveState::Inherited => self.end(key, MoveEnd::GivenUp(GiveUp::LeaderChanged)),
+            MoveState::Inherited => self.end(key, MoveEnd::GivenUp(GiveUpReason::LeaderChanged)),
             _ => None,
         }
     }
 
     /// A task was seen saving.
-    pub fn saving(&mut self, now: Instant, key: &TaskKey) {
+    pub fn task_saving(&mut self, now: Instant, key: &TaskKey) {
         self.moves.advance(now, key, &[MoveState::Inherited, MoveState::Stopping], MoveState::Saving);
     }
 
     /// A task is proven gone from its place, with its end or without. Tells whether its move goes on:
     /// its destination waits for it.
-    pub fn left(&mut self, now: Instant, key: &TaskKey, ended: bool) -> Option<(Move, MoveEnd)> {
-        self.load.remove(key);
+    pub fn task_left(&mut self, now: Instant, key: &TaskKey, ended: bool) -> Option<(Move, MoveEnd)> {
+        self.load.remove_task(key);
         let state = self.moves.get(key)?.state;
         let reason = match state {
-            _ if ended => GiveUp::TaskEnded,
+            _ if ended => GiveUpReason::TaskEnded,
             MoveState::Inherited | MoveState::Stopping | MoveState::Saving => {
                 let open = self.moves.get(key)?;
-                self.load.departed(&open.from, open.need);
+                self.load.remove_departing(&open.from, open.need);
                 self.moves.advance(now, key, &[state], MoveState::Vacated);
                 return None;
             }
             MoveState::Vacated => return None,
-            MoveState::Booked => GiveUp::LeftEarly,
-            MoveState::Placed => GiveUp::DestinationGone,
+            MoveState::Booked => GiveUpReason::LeftEarly,
+            MoveState::Placed => GiveUpReason::DestinationGone,
         };
         self.end(key, MoveEnd::GivenUp(reason))
     }
 
     /// Ends a move with its reason.
-    pub fn give_up(&mut self, key: &TaskKey, reason: GiveUp) -> Option<(Move, MoveEnd)> {
+    pub fn give_up(&mut self, key: &TaskKey, reason: GiveUpReason) -> Option<(Move, MoveEnd)> {
         self.end(key, MoveEnd::GivenUp(reason))
     }
 
@@ -178,7 +178,7 @@
     /// record that names it.
     pub fn begin(&mut self, now: Instant, proposal: &Proposal, part: usize) {
         self.begun += 1;
-        self.pace.begun(now, &proposal.from, &proposal.to);
+        self.rate_limit.move_begun(now, &proposal.from, &proposal.to);
         self.open_move(Move {
             key: proposal.task.key.clone(),
             attempt: proposal.task.attempt,
@@ -210,24 +210,24 @@
 
     fn open_move(&mut self, open: Move) {
         self.load.book(&open.to, open.need);
-        if open.departs() {
-            self.load.depart(&open.from, open.need);
+        if open.is_at_source() {
+            self.load.add_departing(&open.from, open.need);
         }
         self.moves.begin(open);
     }
 
     /// The booking is durable: the stop may be ordered. False if the move is no longer there.
-    pub fn durable(&mut self, now: Instant, key: &TaskKey, attempt: u64) -> bool {
+    pub fn booking_durable(&mut self, now: Instant, key: &TaskKey, attempt: u64) -> bool {
         let same = self.moves.get(key).is_some_and(|open| open.attempt == attempt);
         same && self.moves.advance(now, key, &[MoveState::Booked], MoveState::Stopping)
     }
 
     fn end(&mut self, key: &TaskKey, end: MoveEnd) -> Option<(Move, MoveEnd)> {
         let ended = self.moves.end(key)?;
-        if ended.departs() {
-            self.load.departed(&ended.from, ended.need);
+        if ended.is_at_source() {
+            self.load.remove_departing(&ended.from, ended.need);
         }
-        if ended.books_room() {
+        if ended.holds_booking() {
             self.load.unbook(&ended.to, ended.need);
         }
         match end {
@@ -239,36 +239,37 @@
 
     /// Lets time pass; returns the moves that took too long, to be given up.
     pub fn tick(&mut self, now: Instant) -> Vec<TaskKey> {
-        self.pace.tick(now, self.load.machines(), &self.settings);
-        self.moves.overdue(now, self.settings.booking * STEP_SLACK)
+        self.rate_limit.tick(now, self.load.machines(), &self.settings);
+        self.moves.timed_out(now, self.settings.booking_timeout * STEP_SLACK)
     }
 
     /// For how long a vacated task waits for its destination.
-    pub fn longest_wait(&self) -> Duration {
-        self.settings.booking
+    pub fn booking_timeout(&self) -> Duration {
+        self.settings.booking_timeout
     }
 
     /// The next move that pays, if the budget allows one, and the value of the record that has room for
     /// it; values hold so many bytes.
     pub fn propose(&self, view: &impl FleetView, value_bytes: usize) -> Option<(Proposal, usize)> {
-        if self.pace.available() == 0 {
+        if self.rate_limit.available() == 0 {
             return None;
         }
-        let planner = Planner { load: &self.load, moves: &self.moves, pace: &self.pace, settings: &self.settings };
+        let planner =
+            Planner { load: &self.load, moves: &self.moves, rate_limit: &self.rate_limit, settings: &self.settings };
         let next = planner.next(view)?;
-        let bytes = OpenMove::bytes(&next.task.key.0, &next.from, &next.to);
-        let part = self.moves.part_for(bytes, value_bytes)?;
+        let bytes = OpenMove::max_bytes(&next.task.key.0, &next.from, &next.to);
+        let part = self.moves.part_with_space(bytes, value_bytes)?;
         Some((next, part))
     }
 
     /// Whether a team may have one more task placed now.
-    pub fn may_place(&mut self, now: Instant, ask: &Borrow) -> bool {
+    pub fn may_place(&mut self, now: Instant, ask: &BorrowRequest) -> bool {
         self.shares.may_place(now, &self.load, &self.settings, ask)
     }
 
     /// A job is over.
-    pub fn job_over(&mut self, job: &Name) {
-        self.shares.forget(job);
+    pub fn job_ended(&mut self, job: &Name) {
+        self.shares.forget_job(job);
     }
 
     /// One value of the record; from now on it counts as written.
@@ -286,7 +287,7 @@
 
     /// A value of the record must be written: its write failed or is in doubt, or it is an earlier
     /// leader's.
-    pub fn record_is_stale(&mut self, part: usize) {
+    pub fn mark_unwritten(&mut self, part: usize) {
         self.moves.set_unwritten(part, true);
     }
 
@@ -302,7 +303,7 @@
             confirmed: std::mem::take(&mut self.confirmed),
             given_up: std::mem::take(&mut self.given_up).into_iter().collect(),
             open: self.moves.len(),
-            held: self.shares.held().0,
+            held_jobs: self.shares.held_jobs().0,
         }
     }
 }
--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -8,12 +8,12 @@
 #![warn(missing_docs)]
 
 mod balancer;
+mod cost;
 mod evenness;
 mod load;
 mod moves;
-mod pace;
 mod planner;
-mod price;
+mod rate_limit;
 mod record;
 mod resources;
 mod settings;
@@ -22,16 +22,16 @@
 use std::sync::Arc;
 
 pub use balancer::{Balancer, Summary};
+pub use cost::{CostModel, MoveCost};
 pub use evenness::Evenness;
 pub use load::{LoadModel, MachineInfo, TeamLoad, ZoneLoad};
-pub use moves::{GiveUp, Move, MoveEnd, MoveState, Moves};
-pub use pace::Pace;
+pub use moves::{GiveUpReason, Move, MoveEnd, MoveState, Moves};
 pub use planner::{Candidate, FleetView, Proposal};
-pub use price::{MoveCost, Pricing};
+pub use rate_limit::MoveRateLimiter;
 pub use record::{OpenMove, OpenMoves, PREFIX as RECORD_PREFIX, key as record_key};
 pub use resources::Resources;
 pub use settings::{Settings, SettingsError};
-pub use shares::{Borrow, Shares};
+pub use shares::{BorrowRequest, FairShares};
 
 /// The name of a job, machine, zone or team.
 pub type Name = Arc<str>;
--- a/crates/balance/src/load.rs
+++ b/crates/balance/src/load.rs
@@ -24,14 +24,14 @@
     /// All that it has.
     pub total: Resources,
     /// Whether tasks may be moved to it.
-    pub open: bool,
+    pub accepts_moves: bool,
     /// What preemption keeps on it for a job.
     pub claimed: Resources,
 }
 
 /// A task on a machine, as the model counts it.
 #[derive(Clone, Debug)]
-struct Held {
+struct PlacedTask {
     team: Name,
     need: Resources,
     running: bool,
@@ -41,9 +41,9 @@
 struct MachineLoad {
     zone: Option<Name>,
     total: Resources,
-    open: bool,
+    accepts_moves: bool,
     used: Resources,
-    promised: Resources,
+    starting: Resources,
     claimed: Resources,
     booked: Resources,
     departing: Resources,
@@ -52,12 +52,12 @@
 }
 
 impl MachineLoad {
-    fn taken(&self) -> Resources {
-        self.used.plus(self.promised).plus(self.claimed).plus(self.booked)
+    fn allocated(&self) -> Resources {
+        self.used.plus(self.starting).plus(self.claimed).plus(self.booked)
     }
 
-    fn use_share(&self) -> f64 {
-        self.taken().minus(self.departing).dominant_share(self.total)
+    fn utilization(&self) -> f64 {
+        self.allocated().minus(self.departing).dominant_share(self.total)
     }
 }
 
@@ -67,13 +67,13 @@
     /// By tasks that were seen running.
     pub used: Resources,
     /// By tasks that were placed and not yet seen running.
-    pub promised: Resources,
+    pub starting: Resources,
 }
 
 impl TeamLoad {
     /// Both together.
     pub fn all(&self) -> Resources {
-        self.used.plus(self.promised)
+        self.used.plus(self.starting)
     }
 }
 
@@ -83,23 +83,23 @@
     /// What its machines have.
     pub total: Resources,
     /// Used, promised, claimed and booked.
-    pub taken: Resources,
+    pub allocated: Resources,
 }
 
 /// The load of all machines, zones and teams.
 #[derive(Debug, Default)]
 pub struct LoadModel {
     machines: BTreeMap<Name, MachineLoad>,
-    tasks: BTreeMap<TaskKey, (Name, Held)>,
+    tasks: BTreeMap<TaskKey, (Name, PlacedTask)>,
     teams: BTreeMap<Name, TeamLoad>,
     zones: BTreeMap<Name, ZoneLoad>,
     /// Machines in the order of their use.
-    by_use: BTreeSet<(u32, Name)>,
+    by_utilization: BTreeSet<(u32, Name)>,
     /// Those that are open among them.
-    open_by_use: BTreeSet<(u32, Name)>,
+    destinations_by_utilization: BTreeSet<(u32, Name)>,
     evenness: Evenness,
     total: Resources,
-    taken: Resources,
+    allocated: Resources,
 }
 
 impl LoadModel {
@@ -120,7 +120,7 @@
 
     /// What nobody uses, is promised or has booked.
     pub fn free(&self) -> Resources {
-        let free = self.total.minus(self.taken);
+        let free = self.total.minus(self.allocated);
         Resources { cpus: free.cpus.max(0.0), gpus: free.gpus.max(0.0), memory_gb: free.memory_gb.max(0.0) }
     }
 
@@ -135,8 +135,8 @@
     }
 
     /// The share of a machine that will be used once open moves are done.
-    pub fn use_of(&self, machine: &str) -> Option<f64> {
-        self.machines.get(machine).map(MachineLoad::use_share)
+    pub fn utilization(&self, machine: &str) -> Option<f64> {
+        self.machines.get(machine).map(MachineLoad::utilization)
     }
 
     /// What all machines but this one would not change: the share that `need` is of it.
@@ -145,8 +145,8 @@
     }
 
     /// Whether tasks may be moved to the machine.
-    pub fn is_open(&self, machine: &str) -> bool {
-        self.machines.get(machine).is_some_and(|load| load.open)
+    pub fn accepts_moves(&self, machine: &str) -> bool {
+        self.machines.get(machine).is_some_and(|load| load.accepts_moves)
     }
 
     /// Room on a machine that is booked by open moves.
@@ -155,31 +155,31 @@
     }
 
     /// The machines that are used the most.
-    pub fn hottest(&self, count: usize) -> Vec<Name> {
-        self.by_use.iter().rev().take(count).map(|(_, name)| name.clone()).collect()
+    pub fn most_loaded(&self, count: usize) -> Vec<Name> {
+        self.by_utilization.iter().rev().take(count).map(|(_, name)| name.clone()).collect()
     }
 
     /// The open machines that are used the least.
-    pub fn coldest(&self, count: usize) -> Vec<Name> {
-        self.open_by_use.iter().take(count).map(|(_, name)| name.clone()).collect()
+    pub fn least_loaded(&self, count: usize) -> Vec<Name> {
+        self.destinations_by_utilization.iter().take(count).map(|(_, name)| name.clone()).collect()
     }
 
     /// Applies a change to a machine, and brings sums and index in line with it.
     fn change(&mut self, name: &Name, change: impl FnOnce(&mut MachineLoad)) {
         let load = self.machines.entry(name.clone()).or_default();
-        let (zone, total, taken) = (load.zone.clone(), load.total, load.taken());
+        let (zone, total, allocated) = (load.zone.clone(), load.total, load.allocated());
         change(load);
         self.total = self.total.minus(total).plus(load.total);
-        self.taken = self.taken.minus(taken).plus(load.taken());
+        self.allocated = self.allocated.minus(allocated).plus(load.allocated());
         if let Some(zone) = zone {
             let sums = self.zones.entry(zone).or_default();
             sums.total.sub(total);
-            sums.taken.sub(taken);
+            sums.allocated.sub(allocated);
         }
         if let Some(zone) = &load.zone {
             let sums = self.zones.entry(zone.clone()).or_default();
             sums.total.add(load.total);
-            sums.taken.add(load.taken());
+            sums.allocated.add(load.allocated());
         }
         self.reindex(name);
     }
@@ -188,20 +188,20 @@
         let Some(load) = self.machines.get_mut(name) else { return };
         if let Some((step, share)) = load.indexed.take() {
             self.evenness.remove(share);
-            self.by_use.remove(&(step, name.clone()));
-            self.open_by_use.remove(&(step, name.clone()));
+            self.by_utilization.remove(&(step, name.clone()));
+            self.destinations_by_utilization.remove(&(step, name.clone()));
         }
         // One of which only a name is known has no share.
-        if load.total.is_nothing() {
+        if load.total.is_zero() {
             return;
         }
-        let share = load.use_share();
+        let share = load.utilization();
         let step = (share * STEPS).clamp(0.0, STEPS * 2.0) as u32;
         load.indexed = Some((step, share));
         self.evenness.add(share);
-        self.by_use.insert((step, name.clone()));
-        if load.open {
-            self.open_by_use.insert((step, name.clone()));
+        self.by_utilization.insert((step, name.clone()));
+        if load.accepts_moves {
+            self.destinations_by_utilization.insert((step, name.clone()));
         }
     }
 
@@ -210,7 +210,7 @@
         let same = self.machines.get(name).is_some_and(|load| {
             load.zone.as_ref() == Some(&info.zone)
                 && load.total == info.total
-                && load.open == info.open
+                && load.accepts_moves == info.accepts_moves
                 && load.claimed == info.claimed
         });
         if same {
@@ -219,7 +219,7 @@
         self.change(name, |load| {
             load.zone = Some(info.zone);
             load.total = info.total;
-            load.open = info.open;
+            load.accepts_moves = info.accepts_moves;
             load.claimed = info.claimed;
         });
     }
@@ -237,37 +237,37 @@
     }
 
     /// A task has a place now.
-    pub fn place(&mut self, key: &TaskKey, machine: &Name, team: &Name, need: Resources) {
-        self.remove(key);
-        self.teams.entry(team.clone()).or_default().promised.add(need);
-        let held = Held { team: team.clone(), need, running: false };
+    pub fn add_task(&mut self, key: &TaskKey, machine: &Name, team: &Name, need: Resources) {
+        self.remove_task(key);
+        self.teams.entry(team.clone()).or_default().starting.add(need);
+        let held = PlacedTask { team: team.clone(), need, running: false };
         self.tasks.insert(key.clone(), (machine.clone(), held));
-        self.change(machine, |load| load.promised.add(need));
+        self.change(machine, |load| load.starting.add(need));
     }
 
     /// A task was seen running where it was placed.
-    pub fn running(&mut self, key: &TaskKey) {
+    pub fn mark_running(&mut self, key: &TaskKey) {
         let Some((machine, held)) = self.tasks.get_mut(key).filter(|(_, held)| !held.running) else { return };
         held.running = true;
         let (machine, need) = (machine.clone(), held.need);
         let team = self.teams.entry(held.team.clone()).or_default();
-        team.promised.sub(need);
+        team.starting.sub(need);
         team.used.add(need);
         self.change(&machine, |load| {
-            load.promised.sub(need);
+            load.starting.sub(need);
             load.used.add(need);
         });
     }
 
     /// A task has left its place.
-    pub fn remove(&mut self, key: &TaskKey) {
+    pub fn remove_task(&mut self, key: &TaskKey) {
         let Some((machine, held)) = self.tasks.remove(key) else { return };
         if let Some(team) = self.teams.get_mut(&held.team) {
-            let part = if held.running { &mut team.used } else { &mut team.promised };
+            let part = if held.running { &mut team.used } else { &mut team.starting };
             part.sub(held.need);
         }
         self.change(&machine, |load| {
-            let part = if held.running { &mut load.used } else { &mut load.promised };
+            let part = if held.running { &mut load.used } else { &mut load.starting };
             part.sub(held.need);
         });
     }
@@ -278,12 +278,12 @@
     }
 
     /// A task is to leave a machine by a move.
-    pub fn depart(&mut self, machine: &Name, need: Resources) {
+    pub fn add_departing(&mut self, machine: &Name, need: Resources) {
         self.change(machine, |load| load.departing.add(need));
     }
 
     /// It has left, or stays.
-    pub fn departed(&mut self, machine: &Name, need: Resources) {
+    pub fn remove_departing(&mut self, machine: &Name, need: Resources) {
         if self.machines.contains_key(machine) {
             self.change(machine, |load| load.departing.sub(need));
         }
--- a/crates/balance/src/moves.rs
+++ b/crates/balance/src/moves.rs
@@ -14,7 +14,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use crate::record::{MOST_PARTS, OpenMove};
+use crate::record::{MAX_PARTS, OpenMove};
 use crate::resources::Resources;
 use crate::{Name, TaskKey};
 
@@ -37,7 +37,7 @@
 
 /// Why a move was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum GiveUp {
+pub enum GiveUpReason {
     /// The destination has no more room for it, or may not take it.
     DestinationFull,
     /// The destination is retiring, straggling, silent or to be taken away.
@@ -66,7 +66,7 @@
     /// The task runs at the destination.
     Confirmed,
     /// It was given up.
-    GivenUp(GiveUp),
+    GivenUp(GiveUpReason),
 }
 
 /// A move that is open.
@@ -95,16 +95,16 @@
 impl Move {
     /// Bytes that it takes of the record at the most.
     pub fn record_bytes(&self) -> usize {
-        OpenMove::bytes(&self.key.0, &self.from, &self.to)
+        OpenMove::max_bytes(&self.key.0, &self.from, &self.to)
     }
 
     /// Whether its task is still at the source, to leave it.
-    pub fn departs(&self) -> bool {
+    pub fn is_at_source(&self) -> bool {
         self.state < MoveState::Vacated
     }
 
     /// Whether room is booked for it: from the start until its new place counts by itself.
-    pub fn books_room(&self) -> bool {
+    pub fn holds_booking(&self) -> bool {
         self.state < MoveState::Placed
     }
 }
@@ -146,7 +146,7 @@
     }
 
     /// Values of the record that must be written.
-    pub fn unwritten(&self) -> Vec<usize> {
+    pub fn unwritten_parts(&self) -> Vec<usize> {
         let parts = self.parts.iter().enumerate();
         parts.filter(|(_, part)| part.unwritten).map(|(number, _)| number).collect()
     }
@@ -162,9 +162,9 @@
     }
 
     /// The first value with room for so many bytes, each holding so many; none if all are full.
-    pub fn part_for(&self, bytes: usize, value_bytes: usize) -> Option<usize> {
+    pub fn part_with_space(&self, bytes: usize, value_bytes: usize) -> Option<usize> {
         let fits = |part: &usize| self.parts.get(*part).map_or(0, |part| part.bytes) + bytes <= value_bytes;
-        (0..MOST_PARTS).find(fits)
+        (0..MAX_PARTS).find(fits)
     }
 
     fn part_mut(&mut self, part: usize) -> &mut Part {
@@ -202,20 +202,20 @@
     }
 
     /// Moves that have been in one state for too long.
-    pub fn overdue(&self, now: Instant, longest: Duration) -> Vec<TaskKey> {
+    pub fn timed_out(&self, now: Instant, longest: Duration) -> Vec<TaskKey> {
         let late = |open: &&Move| now.saturating_duration_since(open.since) >= longest;
         self.open.values().filter(late).map(|open| open.key.clone()).collect()
     }
 
     /// Whether a move has been in this state for longer.
-    pub fn waits_longer(&self, now: Instant, state: MoveState, than: Duration) -> bool {
+    pub fn any_in_state_longer(&self, now: Instant, state: MoveState, than: Duration) -> bool {
         let late = |open: &Move| open.state == state && now.saturating_duration_since(open.since) > than;
         self.open.values().any(late)
     }
 
     /// Moves to a machine that have not placed their task yet.
-    pub fn bound_for(&self, machine: &Name) -> Vec<TaskKey> {
-        let bound = |open: &&Move| open.to == *machine && open.books_room();
+    pub fn unplaced_moves_to(&self, machine: &Name) -> Vec<TaskKey> {
+        let bound = |open: &&Move| open.to == *machine && open.holds_booking();
         self.open.values().filter(bound).map(|open| open.key.clone()).collect()
     }
 
--- a/crates/balance/src/planner.rs
+++ b/crates/balance/src/planner.rs
@@ -1,10 +1,10 @@
 //! Which running tasks should move: from the machines that are used the most to those that are used
 //! the least, one at a time, while a move gains more expected time than it costs.
 
+use crate::cost::{CostModel, MoveCost, MoveEndpoint};
 use crate::load::LoadModel;
 use crate::moves::Moves;
-use crate::pace::{Direction, Pace};
-use crate::price::{MoveCost, Pricing, Side};
+use crate::rate_limit::{MoveRateLimiter, MoveRole};
 use crate::resources::Resources;
 use crate::settings::Settings;
 use crate::{Name, TaskKey};
@@ -23,9 +23,9 @@
     /// What it needs.
     pub need: Resources,
     /// Run time that it has left.
-    pub left_s: f64,
+    pub remaining_s: f64,
     /// Work that would run again.
-    pub repeated_s: f64,
+    pub lost_work_s: f64,
     /// From the order to stop to the proof that it is gone.
     pub stop_s: f64,
 }
@@ -35,7 +35,7 @@
     /// Tasks on the machine that may be moved, at most one for each job: those of a job are alike.
     fn candidates(&self, machine: &Name) -> Vec<Candidate>;
     /// Run time that all tasks on the machine have left together.
-    fn left_s(&self, machine: &Name) -> f64;
+    fn remaining_s(&self, machine: &Name) -> f64;
     /// Whether the task may run on the machine, and there is room that nobody has claimed or booked.
     fn fits(&self, task: &Candidate, machine: &Name) -> bool;
     /// How long its image takes to be there.
@@ -62,7 +62,7 @@
     /// Moves that are open.
     pub moves: &'a Moves,
     /// Budget and rests.
-    pub pace: &'a Pace,
+    pub rate_limit: &'a MoveRateLimiter,
     /// The operators' settings.
     pub settings: &'a Settings,
 }
@@ -70,14 +70,15 @@
 impl Planner<'_> {
     /// The next move, if one pays: from the most used machine that has one.
     pub fn next(&self, view: &impl FleetView) -> Option<Proposal> {
-        let destinations = self.load.coldest(DESTINATIONS);
-        let coldest = destinations.iter().filter_map(|name| self.load.use_of(name)).fold(f64::INFINITY, f64::min);
-        for from in self.load.hottest(SOURCES) {
-            let used = self.load.use_of(&from)?;
-            if used - coldest < self.settings.use_gap {
+        let destinations = self.load.least_loaded(DESTINATIONS);
+        let least_loaded =
+            destinations.iter().filter_map(|name| self.load.utilization(name)).fold(f64::INFINITY, f64::min);
+        for from in self.load.most_loaded(SOURCES) {
+            let used = self.load.utilization(&from)?;
+            if used - least_loaded < self.settings.utilization_gap {
                 return None;
             }
-            if !self.pace.may(&from, Direction::Gave) {
+            if !self.rate_limit.allows(&from, MoveRole::Source) {
                 continue;
             }
             let best = self.best_from(&from, used, &destinations, view);
@@ -89,17 +90,21 @@
     }
 
     fn best_from(&self, from: &Name, used: f64, to: &[Name], view: &impl FleetView) -> Option<Proposal> {
-        let pricing = Pricing::new(self.settings);
-        let left_s = view.left_s(from);
+        let cost_model = CostModel::new(self.settings);
+        let remaining_s = view.remaining_s(from);
         let mut best: Option<Proposal> = None;
         for task in view.candidates(from) {
             if self.moves.get(&task.key).is_some() {
                 continue;
             }
             let share = self.load.share_of(from, task.need);
-            let source = Side { used, share, others_left_s: (left_s - task.left_s).max(0.0) };
+            let source = MoveEndpoint {
+                utilization: used,
+                task_share: share,
+                others_remaining_s: (remaining_s - task.remaining_s).max(0.0),
+            };
             for machine in to.iter().filter(|machine| *machine != from) {
-                let Some(gain_s) = self.gain_s(&pricing, &task, &source, machine, view) else { continue };
+                let Some(gain_s) = self.gain_s(&cost_model, &task, &source, machine, view) else { continue };
                 if best.as_ref().is_none_or(|best| gain_s > best.gain_s) {
                     best = Some(Proposal { task: task.clone(), from: from.clone(), to: machine.clone(), gain_s });
                 }
@@ -111,23 +116,24 @@
     /// What the move gains, if it pays: by more than the hysteresis, and by a multiple of its cost.
     fn gain_s(
         &self,
-        pricing: &Pricing,
+        cost_model: &CostModel,
         task: &Candidate,
-        source: &Side,
+        source: &MoveEndpoint,
         machine: &Name,
         view: &impl FleetView,
     ) -> Option<f64> {
         let share = self.load.share_of(machine, task.need);
-        let used = self.load.use_of(machine)? + share;
-        let apart = source.used - (used - share) >= self.settings.use_gap;
-        if !apart || !self.pace.may(machine, Direction::Took) || !view.fits(task, machine) {
+        let used = self.load.utilization(machine)? + share;
+        let apart = source.utilization - (used - share) >= self.settings.utilization_gap;
+        if !apart || !self.rate_limit.allows(machine, MoveRole::Destination) || !view.fits(task, machine) {
             return None;
         }
         let fetch_s = view.fetch_s(task, machine);
-        let cost = MoveCost { left_s: task.left_s, repeated_s: task.repeated_s, stop_s: task.stop_s, fetch_s };
-        let side = Side { used, share, others_left_s: view.left_s(machine) };
-        let gain_s = pricing.net_gain_s(&cost, source, &side);
-        let least = self.settings.least_gain.as_secs_f64();
+        let cost =
+            MoveCost { remaining_s: task.remaining_s, lost_work_s: task.lost_work_s, stop_s: task.stop_s, fetch_s };
+        let side = MoveEndpoint { utilization: used, task_share: share, others_remaining_s: view.remaining_s(machine) };
+        let gain_s = cost_model.net_gain_s(&cost, source, &side);
+        let least = self.settings.min_gain.as_secs_f64();
         // The gain has its cost taken off already.
         let pays = gain_s >= least && gain_s + cost.total_s() >= cost.total_s() * self.settings.gain_ratio;
         pays.then_some(gain_s)
--- a/crates/balance/src/pace.rs
+++ b/crates/balance/src/rate_limit.rs
@@ -15,22 +15,22 @@
 
 /// In which direction a machine took part in a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Direction {
+pub enum MoveRole {
     /// A task left it.
-    Gave,
+    Source,
     /// A task came to it.
-    Took,
+    Destination,
 }
 
 /// The budget of moves and the machines that rest.
 #[derive(Debug, Default)]
-pub struct Pace {
+pub struct MoveRateLimiter {
     budget: f64,
     filled: Option<Instant>,
-    resting: BTreeMap<Name, (Direction, Instant)>,
+    resting: BTreeMap<Name, (MoveRole, Instant)>,
 }
 
-impl Pace {
+impl MoveRateLimiter {
     /// Lets the budget grow for a fleet of so many machines, and ends rests that are over.
     pub fn tick(&mut self, now: Instant, machines: usize, settings: &Settings) {
         let rate = settings.moves_per_machine * machines as f64 / MINUTE_S;
@@ -47,19 +47,19 @@
     }
 
     /// Whether a machine may take part in this direction.
-    pub fn may(&self, machine: &Name, direction: Direction) -> bool {
+    pub fn allows(&self, machine: &Name, direction: MoveRole) -> bool {
         self.resting.get(machine).is_none_or(|(last, _)| *last == direction)
     }
 
     /// A move begins.
-    pub fn begun(&mut self, now: Instant, from: &Name, to: &Name) {
+    pub fn move_begun(&mut self, now: Instant, from: &Name, to: &Name) {
         self.budget = (self.budget - 1.0).max(0.0);
-        self.resting.insert(from.clone(), (Direction::Gave, now));
-        self.resting.insert(to.clone(), (Direction::Took, now));
+        self.resting.insert(from.clone(), (MoveRole::Source, now));
+        self.resting.insert(to.clone(), (MoveRole::Destination, now));
     }
 
     /// A machine is gone.
-    pub fn forget(&mut self, machine: &Name) {
+    pub fn forget_machine(&mut self, machine: &Name) {
         self.resting.remove(machine);
     }
 }
--- a/crates/balance/src/record.rs
+++ b/crates/balance/src/record.rs
@@ -10,7 +10,7 @@
 /// What the keys begin with under which open moves stand in the state service.
 pub const PREFIX: &str = "balance/moves/";
 /// The most values: a thousand open moves and more with values of 8 KiB.
-pub const MOST_PARTS: usize = 16;
+pub const MAX_PARTS: usize = 16;
 
 /// The key of one of the values.
 pub fn key(part: usize) -> String {
@@ -46,7 +46,7 @@
 
 impl OpenMove {
     /// Bytes that an entry takes in the value at the most, with these names.
-    pub fn bytes(job: &str, from: &str, to: &str) -> usize {
+    pub fn max_bytes(job: &str, from: &str, to: &str) -> usize {
         // Punctuation and field names, and the digits of a task's number and an attempt.
         const PUNCTUATION: usize = 40;
         const DIGITS: usize = 10 + 20;
--- a/crates/balance/src/resources.rs
+++ b/crates/balance/src/resources.rs
@@ -3,7 +3,7 @@
 use rushyoke_wire::job::JobSpec;
 
 /// Amounts compare with this slack, since sums of decimals are not exact.
-const SLACK: f64 = 1e-6;
+const TOLERANCE: f64 = 1e-6;
 /// The most times that one amount is said to fit into another.
 const MOST_TIMES: f64 = 1e6;
 
@@ -20,7 +20,7 @@
 
 impl Resources {
     /// The slack with which amounts compare.
-    pub const SLACK: f64 = SLACK;
+    pub const TOLERANCE: f64 = TOLERANCE;
 
     /// What a task of the job needs.
     pub fn of(spec: &JobSpec) -> Resources {
@@ -59,26 +59,28 @@
     }
 
     /// Nothing of anything.
-    pub fn is_nothing(&self) -> bool {
-        self.cpus <= SLACK && self.gpus <= SLACK && self.memory_gb <= SLACK
+    pub fn is_zero(&self) -> bool {
+        self.cpus <= TOLERANCE && self.gpus <= TOLERANCE && self.memory_gb <= TOLERANCE
     }
 
     /// Grows to hold as much of each as `other` does.
-    pub fn widen(&mut self, other: Resources) {
+    pub fn expand_to(&mut self, other: Resources) {
         self.cpus = self.cpus.max(other.cpus);
         self.gpus = self.gpus.max(other.gpus);
         self.memory_gb = self.memory_gb.max(other.memory_gb);
     }
 
     /// Whether `need` fits.
-    pub fn holds(&self, need: Resources) -> bool {
-        need.cpus <= self.cpus + SLACK && need.gpus <= self.gpus + SLACK && need.memory_gb <= self.memory_gb + SLACK
+    pub fn can_fit(&self, need: Resources) -> bool {
+        need.cpus <= self.cpus + TOLERANCE
+            && need.gpus <= self.gpus + TOLERANCE
+            && need.memory_gb <= self.memory_gb + TOLERANCE
     }
 
     /// How many times `need` fits.
-    pub fn times(&self, need: Resources) -> u32 {
+    pub fn fit_count(&self, need: Resources) -> u32 {
         let part = |have: f64, want: f64| {
-            if want > 0.0 { (have + SLACK) / want } else { f64::INFINITY }
+            if want > 0.0 { (have + TOLERANCE) / want } else { f64::INFINITY }
         };
         let times =
             part(self.cpus, need.cpus).min(part(self.gpus, need.gpus)).min(part(self.memory_gb, need.memory_gb));
@@ -88,7 +90,7 @@
     /// The largest share that this is of `total`, over the resources that `total` has: the dominant
     /// share of dominant resource fairness.
     pub fn dominant_share(&self, total: Resources) -> f64 {
-        let part = |have: f64, all: f64| if all > SLACK { have / all } else { 0.0 };
+        let part = |have: f64, all: f64| if all > TOLERANCE { have / all } else { 0.0 };
         part(self.cpus, total.cpus).max(part(self.gpus, total.gpus)).max(part(self.memory_gb, total.memory_gb))
     }
 }
--- a/crates/balance/src/shares.rs
+++ b/crates/balance/src/shares.rs
@@ -19,7 +19,7 @@
 
 /// What a team asks for: one more task of a job.
 #[derive(Clone, Debug)]
-pub struct Borrow<'a> {
+pub struct BorrowRequest<'a> {
     /// The job.
     pub job: &'a Name,
     /// Its team.
@@ -37,18 +37,18 @@
 
 /// Fair shares, and the jobs that are held back for them.
 #[derive(Debug, Default)]
-pub struct Shares {
+pub struct FairShares {
     teams: BTreeMap<Name, Team>,
     held: BTreeMap<Name, Instant>,
     /// Jobs that were ever held back.
     held_count: u64,
 }
 
-impl Shares {
+impl FairShares {
     /// Teams with their guarantees.
-    pub fn new(teams: impl IntoIterator<Item = (Name, Resources)>) -> Shares {
+    pub fn new(teams: impl IntoIterator<Item = (Name, Resources)>) -> FairShares {
         let teams = teams.into_iter().map(|(name, guarantee)| (name, Team { guarantee }));
-        Shares { teams: teams.collect(), ..Shares::default() }
+        FairShares { teams: teams.collect(), ..FairShares::default() }
     }
 
     fn weight(&self, team: &str) -> f64 {
@@ -75,17 +75,17 @@
         self.dominant_share(load, team, Resources::default()) / self.fair_share(team).max(f64::EPSILON)
     }
 
-    fn within_guarantee(&self, load: &LoadModel, ask: &Borrow) -> bool {
+    fn is_within_guarantee(&self, load: &LoadModel, ask: &BorrowRequest) -> bool {
         let Some(team) = self.teams.get(ask.team) else { return false };
         let after = load.team(ask.team).all().plus(ask.need);
         let limit = Resources { memory_gb: f64::INFINITY, ..team.guarantee };
-        limit.holds(after)
+        limit.can_fit(after)
     }
 
     /// Whether one more task may be placed now. One that may not is tried again; after the longest
     /// hold it passes.
-    pub fn may_place(&mut self, now: Instant, load: &LoadModel, settings: &Settings, ask: &Borrow) -> bool {
-        let allowed = self.within_guarantee(load, ask) || self.is_fair(load, settings, ask);
+    pub fn may_place(&mut self, now: Instant, load: &LoadModel, settings: &Settings, ask: &BorrowRequest) -> bool {
+        let allowed = self.is_within_guarantee(load, ask) || self.is_fair(load, settings, ask);
         if allowed {
             self.held.remove(ask.job);
             return true;
@@ -95,28 +95,28 @@
             *held_count += 1;
             now
         });
-        now.saturating_duration_since(since) >= settings.hold
+        now.saturating_duration_since(since) >= settings.max_hold
     }
 
-    fn is_fair(&self, load: &LoadModel, settings: &Settings, ask: &Borrow) -> bool {
+    fn is_fair(&self, load: &LoadModel, settings: &Settings, ask: &BorrowRequest) -> bool {
         if self.dominant_share(load, ask.team, ask.need) <= self.fair_share(ask.team) {
             return true;
         }
         let total = load.total();
         let left = load.free().minus(ask.need);
-        let soon_over = ask.run_s <= settings.borrow.as_secs_f64();
-        let kept = total.scaled(if soon_over { settings.free_share } else { settings.free_share_long });
+        let soon_over = ask.run_s <= settings.short_run.as_secs_f64();
+        let kept = total.scaled(if soon_over { settings.free_share } else { settings.free_share_long_runs });
         let wanted = [(ask.need.cpus, left.cpus, kept.cpus), (ask.need.gpus, left.gpus, kept.gpus)];
         wanted.iter().all(|(need, left, kept)| *need <= 0.0 || left >= kept)
     }
 
     /// A job waits no more.
-    pub fn forget(&mut self, job: &Name) {
+    pub fn forget_job(&mut self, job: &Name) {
         self.held.remove(job);
     }
 
     /// Jobs held back now, and ever.
-    pub fn held(&self) -> (usize, u64) {
+    pub fn held_jobs(&self) -> (usize, u64) {
         (self.held.len(), self.held_count)
     }
 }
--- a/crates/balance/tests/load.rs
+++ b/crates/balance/tests/load.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use rushyoke_balance::{Borrow, LoadModel, MachineInfo, Name, Resources, Settings, Shares, TaskKey};
+use rushyoke_balance::{BorrowRequest, FairShares, LoadModel, MachineInfo, Name, Resources, Settings, TaskKey};
 
 fn cpus(cpus: f64) -> Resources {
     Resources { cpus, gpus: 0.0, memory_gb: cpus * 2.0 }
@@ -17,7 +17,7 @@
 }
 
 fn machine(total: f64) -> MachineInfo {
-    MachineInfo { zone: name("a"), total: cpus(total), open: true, claimed: Resources::default() }
+    MachineInfo { zone: name("a"), total: cpus(total), accepts_moves: true, claimed: Resources::default() }
 }
 
 /// Machines `m0` to `m3` of 16 CPUs each.
@@ -31,37 +31,37 @@
 fn use_counts_what_runs_is_promised_claimed_and_booked() {
     let mut load = four_machines();
     let m0 = name("m0");
-    load.place(&key(0), &m0, &name("red"), cpus(4.0));
-    assert_eq!(load.use_of("m0"), Some(0.25));
-    load.running(&key(0));
-    assert_eq!(load.use_of("m0"), Some(0.25), "a task that runs is counted once");
+    load.add_task(&key(0), &m0, &name("red"), cpus(4.0));
+    assert_eq!(load.utilization("m0"), Some(0.25));
+    load.mark_running(&key(0));
+    assert_eq!(load.utilization("m0"), Some(0.25), "a task that runs is counted once");
     load.book(&m0, cpus(2.0));
     load.set_machine(&m0, MachineInfo { claimed: cpus(2.0), ..machine(16.0) });
-    assert_eq!(load.use_of("m0"), Some(0.5));
-    assert_eq!(load.zone("a").taken, cpus(8.0));
+    assert_eq!(load.utilization("m0"), Some(0.5));
+    assert_eq!(load.zone("a").allocated, cpus(8.0));
     assert_eq!(load.team("red").used, cpus(4.0));
-    assert_eq!(load.hottest(1).first(), Some(&m0));
-    assert_eq!(load.coldest(1), [name("m1")]);
-    load.remove(&key(0));
+    assert_eq!(load.most_loaded(1).first(), Some(&m0));
+    assert_eq!(load.least_loaded(1), [name("m1")]);
+    load.remove_task(&key(0));
     load.unbook(&m0, cpus(2.0));
     load.set_machine(&m0, machine(16.0));
-    assert_eq!(load.use_of("m0"), Some(0.0));
-    assert!(load.free().minus(load.total()).is_nothing());
+    assert_eq!(load.utilization("m0"), Some(0.0));
+    assert!(load.free().minus(load.total()).is_zero());
 }
 
 #[test]
 fn a_machine_that_takes_no_work_is_no_destination_and_one_that_is_gone_counts_for_nothing() {
     let mut load = four_machines();
-    load.set_machine(&name("m1"), MachineInfo { open: false, ..machine(16.0) });
-    assert!(!load.coldest(4).contains(&name("m1")));
+    load.set_machine(&name("m1"), MachineInfo { accepts_moves: false, ..machine(16.0) });
+    assert!(!load.least_loaded(4).contains(&name("m1")));
     assert_eq!(load.machines(), 4);
-    load.place(&key(1), &name("m1"), &name("red"), cpus(8.0));
-    load.remove(&key(1));
+    load.add_task(&key(1), &name("m1"), &name("red"), cpus(8.0));
+    load.remove_task(&key(1));
     load.remove_machine(&name("m1"));
     assert_eq!((load.machines(), load.total()), (3, cpus(48.0)));
     assert_eq!(load.zone("a").total, cpus(48.0));
     // Known by name only, as from a record: no share, no part of the evenness.
-    load.place(&key(2), &name("m9"), &name("red"), cpus(1.0));
+    load.add_task(&key(2), &name("m9"), &name("red"), cpus(1.0));
     assert_eq!(load.machines(), 3);
 }
 
@@ -69,44 +69,44 @@
 fn evenness_follows_the_changes() {
     let mut load = four_machines();
     assert_eq!((load.evenness().variation(), load.evenness().jain()), (0.0, 1.0));
-    (0..16).for_each(|task| load.place(&key(task), &name("m0"), &name("red"), cpus(1.0)));
+    (0..16).for_each(|task| load.add_task(&key(task), &name("m0"), &name("red"), cpus(1.0)));
     // One of four has it all: Jain's index is a quarter, and the variation the root of three.
     assert!((load.evenness().jain() - 0.25).abs() < 1e-9, "{}", load.evenness().jain());
     assert!((load.evenness().variation() - 3f64.sqrt()).abs() < 1e-9, "{}", load.evenness().variation());
     for task in 4..16 {
-        load.place(&key(task), &name(&format!("m{}", task / 4)), &name("red"), cpus(1.0));
+        load.add_task(&key(task), &name(&format!("m{}", task / 4)), &name("red"), cpus(1.0));
     }
     assert!((load.evenness().jain() - 1.0).abs() < 1e-9 && load.evenness().variation() < 1e-6);
 }
 
-fn shares() -> Shares {
-    Shares::new([(name("red"), cpus(8.0)), (name("blue"), cpus(8.0))])
+fn shares() -> FairShares {
+    FairShares::new([(name("red"), cpus(8.0)), (name("blue"), cpus(8.0))])
 }
 
-fn ask<'a>(job: &'a Name, team: &'a str, run_s: f64) -> Borrow<'a> {
-    Borrow { job, team, need: cpus(1.0), run_s }
+fn ask<'a>(job: &'a Name, team: &'a str, run_s: f64) -> BorrowRequest<'a> {
+    BorrowRequest { job, team, need: cpus(1.0), run_s }
 }
 
 #[test]
 fn a_burst_leaves_a_part_free_for_a_stated_time_and_guarantees_are_never_asked() {
     let (mut load, mut shares) = (four_machines(), shares());
-    let settings = Settings { free_share: 0.125, hold: Duration::from_secs(20), ..Settings::default() };
+    let settings = Settings { free_share: 0.125, max_hold: Duration::from_secs(20), ..Settings::default() };
     let now = Instant::now();
     let job = name("wk-000001");
     let mut placed = 0;
     while shares.may_place(now, &load, &settings, &ask(&job, "red", 10.0)) {
-        load.place(&key(placed), &name(&format!("m{}", placed % 4)), &name("red"), cpus(1.0));
+        load.add_task(&key(placed), &name(&format!("m{}", placed % 4)), &name("red"), cpus(1.0));
         placed += 1;
         assert!(placed <= 64, "the burst takes every free slot");
     }
     // Of 64 CPUs 8 stay free.
-    assert_eq!((placed, shares.held().0), (56, 1));
+    assert_eq!((placed, shares.held_jobs().0), (56, 1));
     let blue = name("wk-000002");
     assert!(shares.may_place(now, &load, &settings, &ask(&blue, "blue", 10.0)), "within its guarantee");
-    let later = now + settings.hold;
+    let later = now + settings.max_hold;
     assert!(shares.may_place(later, &load, &settings, &ask(&job, "red", 10.0)), "held for longer than is stated");
-    shares.forget(&job);
-    assert_eq!(shares.held(), (0, 1));
+    shares.forget_job(&job);
+    assert_eq!(shares.held_jobs(), (0, 1));
 }
 
 #[test]
@@ -115,12 +115,12 @@
     let settings = Settings::default();
     let now = Instant::now();
     let job = name("wk-000001");
-    let (short_s, long_s) = (settings.borrow.as_secs_f64(), settings.borrow.as_secs_f64() + 1.0);
+    let (short_s, long_s) = (settings.short_run.as_secs_f64(), settings.short_run.as_secs_f64() + 1.0);
     let mut placed = [0, 0];
     for (kind, run_s) in [long_s, short_s].into_iter().enumerate() {
         while shares.may_place(now, &load, &settings, &ask(&job, "red", run_s)) {
             let task = placed[0] + placed[1];
-            load.place(&key(task), &name(&format!("m{}", task % 4)), &name("red"), cpus(1.0));
+            load.add_task(&key(task), &name(&format!("m{}", task % 4)), &name("red"), cpus(1.0));
             placed[kind] += 1;
         }
     }
@@ -143,12 +143,12 @@
 fn settings_that_make_no_sense_are_named() {
     assert_eq!(Settings::default().check(), Ok(()));
     let wrong = [
-        ("crowding_share", Settings { crowding_share: f64::NAN, ..Settings::default() }),
+        ("crowding_share", Settings { contention_slowdown: f64::NAN, ..Settings::default() }),
         ("gain_ratio", Settings { gain_ratio: 0.5, ..Settings::default() }),
-        ("use_gap", Settings { use_gap: 0.0, ..Settings::default() }),
+        ("use_gap", Settings { utilization_gap: 0.0, ..Settings::default() }),
         ("free_share", Settings { free_share: 0.9, ..Settings::default() }),
-        ("hold_s", Settings { hold: Duration::from_secs(90), ..Settings::default() }),
-        ("booking_s", Settings { booking: Duration::ZERO, ..Settings::default() }),
+        ("hold_s", Settings { max_hold: Duration::from_secs(90), ..Settings::default() }),
+        ("booking_s", Settings { booking_timeout: Duration::ZERO, ..Settings::default() }),
     ];
     for (setting, settings) in wrong {
         let error = settings.check().expect_err(setting);
--- a/crates/balance/tests/moves.rs
+++ b/crates/balance/tests/moves.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use rushyoke_balance::{
-    Balancer, Candidate, FleetView, GiveUp, MachineInfo, MoveEnd, MoveState, Name, OpenMove, OpenMoves, Proposal,
+    Balancer, Candidate, FleetView, GiveUpReason, MachineInfo, MoveEnd, MoveState, Name, OpenMove, OpenMoves, Proposal,
     Resources, Settings, TaskKey,
 };
 
@@ -19,7 +19,7 @@
 /// A fleet in which each task has the same time left.
 struct Fleet {
     places: BTreeMap<TaskKey, Name>,
-    left_s: f64,
+    remaining_s: f64,
     fetch_s: f64,
 }
 
@@ -30,15 +30,15 @@
             key: key.clone(),
             attempt: u64::from(key.1) + 1,
             need: TASK,
-            left_s: self.left_s,
-            repeated_s: 0.0,
+            remaining_s: self.remaining_s,
+            lost_work_s: 0.0,
             stop_s: 1.0,
         })
         .collect()
     }
 
-    fn left_s(&self, machine: &Name) -> f64 {
-        self.places.values().filter(|on| *on == machine).count() as f64 * self.left_s
+    fn remaining_s(&self, machine: &Name) -> f64 {
+        self.places.values().filter(|on| *on == machine).count() as f64 * self.remaining_s
     }
 
     fn fits(&self, _: &Candidate, machine: &Name) -> bool {
@@ -51,17 +51,17 @@
 }
 
 /// Four machines, the first of which is full of tasks that have so long to run.
-fn skewed(left_s: f64, settings: Settings, now: Instant) -> (Balancer, Fleet) {
+fn skewed(remaining_s: f64, settings: Settings, now: Instant) -> (Balancer, Fleet) {
     let mut balancer = Balancer::new(settings, [(name("red"), MACHINE)]);
-    let mut fleet = Fleet { places: BTreeMap::new(), left_s, fetch_s: 1.0 };
+    let mut fleet = Fleet { places: BTreeMap::new(), remaining_s, fetch_s: 1.0 };
     for machine in ["m0", "m1", "m2", "m3"] {
-        let info = MachineInfo { zone: name("a"), total: MACHINE, open: true, claimed: Resources::default() };
-        balancer.machine(&name(machine), info);
+        let info = MachineInfo { zone: name("a"), total: MACHINE, accepts_moves: true, claimed: Resources::default() };
+        balancer.update_machine(&name(machine), info);
     }
     for task in 0..16 {
         let key = (name("wk-000001"), task);
-        balancer.placed(now, &key, &name("m0"), &name("red"), TASK);
-        balancer.running(&key);
+        balancer.task_placed(now, &key, &name("m0"), &name("red"), TASK);
+        balancer.task_running(&key);
         fleet.places.insert(key, name("m0"));
     }
     balancer.tick(now);
@@ -85,10 +85,10 @@
         while let Some((proposal, part)) = balancer.propose(fleet, RECORD_BYTES) {
             balancer.begin(now, &proposal, part);
             let key = proposal.task.key;
-            assert!(balancer.durable(now, &key, proposal.task.attempt));
-            assert_eq!(balancer.left(now, &key, false), None);
-            balancer.placed(now, &key, &proposal.to, &name("red"), TASK);
-            let (_, end) = balancer.running(&key).expect("an end");
+            assert!(balancer.booking_durable(now, &key, proposal.task.attempt));
+            assert_eq!(balancer.task_left(now, &key, false), None);
+            balancer.task_placed(now, &key, &proposal.to, &name("red"), TASK);
+            let (_, end) = balancer.task_running(&key).expect("an end");
             assert_eq!(end, MoveEnd::Confirmed);
             fleet.places.insert(key.clone(), proposal.to);
             moved.push(key);
@@ -123,26 +123,26 @@
     assert!((6..=12).contains(&moves), "{moves} of 16 tasks leave");
     // The use that counts is the one after the moves, and it comes back when they are given up.
     let heading = 1.0 - moves as f64 / 16.0;
-    assert!((balancer.load().use_of("m0").expect("a machine") - heading).abs() < 1e-9);
+    assert!((balancer.load().utilization("m0").expect("a machine") - heading).abs() < 1e-9);
     for key in fleet.places.keys() {
-        balancer.give_up(key, GiveUp::TimedOut);
+        balancer.give_up(key, GiveUpReason::TimedOut);
     }
-    assert_eq!(balancer.load().use_of("m0"), Some(1.0));
+    assert_eq!(balancer.load().utilization("m0"), Some(1.0));
 }
 
 #[test]
 fn nothing_moves_for_too_small_a_gain_or_against_the_settings() {
     let now = Instant::now();
-    let none = |settings: Settings, left_s: f64, fetch_s: f64| {
-        let (mut balancer, mut fleet) = skewed(left_s, settings, now);
+    let none = |settings: Settings, remaining_s: f64, fetch_s: f64| {
+        let (mut balancer, mut fleet) = skewed(remaining_s, settings, now);
         fleet.fetch_s = fetch_s;
         play(&mut balancer, &mut fleet, now, 30).is_empty()
     };
     assert!(none(Settings::default(), 2.0, 1.0), "tasks that are soon over");
     assert!(none(Settings::default(), 100.0, 1000.0), "a fetch that takes longer than is gained");
-    assert!(none(Settings { crowding_share: 0.0, ..Settings::default() }, 100.0, 1.0), "crowding costs nothing");
+    assert!(none(Settings { contention_slowdown: 0.0, ..Settings::default() }, 100.0, 1.0), "crowding costs nothing");
     assert!(none(Settings { moves_per_machine: 0.0, ..Settings::default() }, 100.0, 1.0), "no budget");
-    assert!(none(Settings { least_gain: Duration::from_secs(3000), ..Settings::default() }, 100.0, 1.0));
+    assert!(none(Settings { min_gain: Duration::from_secs(3000), ..Settings::default() }, 100.0, 1.0));
     assert!(!none(Settings::default(), 100.0, 1.0));
 }
 
@@ -163,14 +163,14 @@
     assert_eq!(&*proposal.from, "m0");
     // All of it ends but the moved task; the others fill up at once.
     for key in fleet.places.keys().cloned().collect::<Vec<_>>() {
-        balancer.left(now, &key, true);
+        balancer.task_left(now, &key, true);
         fleet.places.remove(&key);
     }
     for task in 100..148 {
         let key = (name("wk-000002"), task);
         let machine = name(["m1", "m2", "m3"][task as usize % 3]);
-        balancer.placed(now, &key, &machine, &name("red"), TASK);
-        balancer.running(&key);
+        balancer.task_placed(now, &key, &machine, &name("red"), TASK);
+        balancer.task_running(&key);
         fleet.places.insert(key, machine);
     }
     let soon = now + Duration::from_secs(10);
@@ -187,16 +187,16 @@
     let proposal = first_move(&mut balancer, &fleet, now);
     let (key, to) = (proposal.task.key.clone(), proposal.to.clone());
     assert_eq!(balancer.load().booked(&to), TASK);
-    assert!(!balancer.durable(now, &key, proposal.task.attempt + 1), "another attempt");
-    assert!(balancer.durable(now, &key, proposal.task.attempt));
-    assert!(!balancer.durable(now, &key, proposal.task.attempt), "the stop is ordered once");
-    balancer.saving(now, &key);
+    assert!(!balancer.booking_durable(now, &key, proposal.task.attempt + 1), "another attempt");
+    assert!(balancer.booking_durable(now, &key, proposal.task.attempt));
+    assert!(!balancer.booking_durable(now, &key, proposal.task.attempt), "the stop is ordered once");
+    balancer.task_saving(now, &key);
     assert_eq!(balancer.moves().get(&key).map(|open| open.state), Some(MoveState::Saving));
-    assert_eq!(balancer.left(now, &key, false), None);
+    assert_eq!(balancer.task_left(now, &key, false), None);
     assert_eq!(balancer.load().booked(&to), TASK, "room is free before the task has its place");
-    balancer.placed(now, &key, &to, &name("red"), TASK);
-    assert!(balancer.load().booked(&to).is_nothing());
-    let (_, end) = balancer.running(&key).expect("an end");
+    balancer.task_placed(now, &key, &to, &name("red"), TASK);
+    assert!(balancer.load().booked(&to).is_zero());
+    let (_, end) = balancer.task_running(&key).expect("an end");
     assert_eq!((end, balancer.moves().is_empty()), (MoveEnd::Confirmed, true));
 }
 
@@ -206,22 +206,22 @@
 #[test]
 fn every_way_out_gives_the_room_back_with_its_reason() {
     let now = Instant::now();
-    let ends: [(GiveUp, Ending); 5] = [
-        (GiveUp::LeftEarly, |b, p, now| drop(b.left(now, &p.task.key, false))),
-        (GiveUp::TaskEnded, |b, p, now| {
-            b.durable(now, &p.task.key, p.task.attempt);
-            b.left(now, &p.task.key, true);
+    let ends: [(GiveUpReason, Ending); 5] = [
+        (GiveUpReason::LeftEarly, |b, p, now| drop(b.task_left(now, &p.task.key, false))),
+        (GiveUpReason::TaskEnded, |b, p, now| {
+            b.booking_durable(now, &p.task.key, p.task.attempt);
+            b.task_left(now, &p.task.key, true);
         }),
-        (GiveUp::JobCancelled, |b, p, _| drop(b.give_up(&p.task.key, GiveUp::JobCancelled))),
-        (GiveUp::DestinationGone, |b, p, _| {
-            for key in b.machine_gone(&p.to) {
-                b.give_up(&key, GiveUp::DestinationGone);
+        (GiveUpReason::JobCancelled, |b, p, _| drop(b.give_up(&p.task.key, GiveUpReason::JobCancelled))),
+        (GiveUpReason::DestinationGone, |b, p, _| {
+            for key in b.remove_machine(&p.to) {
+                b.give_up(&key, GiveUpReason::DestinationGone);
             }
         }),
-        (GiveUp::TimedOut, |b, p, now| {
-            b.durable(now, &p.task.key, p.task.attempt);
+        (GiveUpReason::TimedOut, |b, p, now| {
+            b.booking_durable(now, &p.task.key, p.task.attempt);
             for key in b.tick(now + Duration::from_secs(120)) {
-                b.give_up(&key, GiveUp::TimedOut);
+                b.give_up(&key, GiveUpReason::TimedOut);
             }
         }),
     ];
@@ -230,7 +230,7 @@
         let proposal = first_move(&mut balancer, &fleet, now);
         end(&mut balancer, &proposal, now);
         assert!(balancer.moves().is_empty(), "{reason:?}");
-        assert!(balancer.load().booked(&proposal.to).is_nothing(), "{reason:?}");
+        assert!(balancer.load().booked(&proposal.to).is_zero(), "{reason:?}");
         assert_eq!(balancer.summary().given_up, [(reason, 1)]);
     }
 }
@@ -240,13 +240,13 @@
     let now = Instant::now();
     let settings = Settings { moves_per_machine: 60.0, ..Settings::default() };
     let (mut balancer, fleet) = skewed(100.0, settings, now);
-    assert!(balancer.moves().unwritten().is_empty(), "nothing has changed");
+    assert!(balancer.moves().unwritten_parts().is_empty(), "nothing has changed");
     balancer.tick(now + Duration::from_secs(3));
     let value_bytes = 200;
     while let Some((proposal, part)) = balancer.propose(&fleet, value_bytes) {
         balancer.begin(now, &proposal, part);
     }
-    let parts = balancer.moves().unwritten();
+    let parts = balancer.moves().unwritten_parts();
     assert!(parts.len() > 1, "all in one value");
     let mut named = Vec::new();
     for part in &parts {
@@ -257,9 +257,9 @@
         named.extend(record.moves);
     }
     assert_eq!(named.len(), balancer.moves().len());
-    assert!(balancer.moves().unwritten().is_empty());
-    balancer.record_is_stale(parts[1]);
-    assert_eq!(balancer.moves().unwritten(), [parts[1]], "a write that failed is made again");
+    assert!(balancer.moves().unwritten_parts().is_empty());
+    balancer.mark_unwritten(parts[1]);
+    assert_eq!(balancer.moves().unwritten_parts(), [parts[1]], "a write that failed is made again");
     let mut next = Balancer::new(Settings::default(), [(name("red"), MACHINE)]);
     next.adopt(now, &named[0], 0, TASK, true);
     let key = (name(&named[0].job), named[0].task);
@@ -280,17 +280,17 @@
     };
     // Its worker lists it as running: the stop was never sent, or is late. It is not sent again.
     let mut balancer = inherited();
-    let end = balancer.running(&key).map(|(_, end)| end);
-    assert_eq!(end, Some(MoveEnd::GivenUp(GiveUp::LeaderChanged)));
-    assert!(balancer.load().booked("m1").is_nothing());
+    let end = balancer.task_running(&key).map(|(_, end)| end);
+    assert_eq!(end, Some(MoveEnd::GivenUp(GiveUpReason::LeaderChanged)));
+    assert!(balancer.load().booked("m1").is_zero());
     // It saves, or is gone: the move goes on.
     for saves in [false, true] {
         let mut balancer = inherited();
         if saves {
-            balancer.saving(now, &key);
+            balancer.task_saving(now, &key);
         }
-        assert_eq!(balancer.left(now, &key, false), None);
-        balancer.placed(now, &key, &name("m1"), &name("red"), TASK);
-        assert_eq!(balancer.running(&key).map(|(_, end)| end), Some(MoveEnd::Confirmed));
+        assert_eq!(balancer.task_left(now, &key, false), None);
+        balancer.task_placed(now, &key, &name("m1"), &name("red"), TASK);
+        assert_eq!(balancer.task_running(&key).map(|(_, end)| end), Some(MoveEnd::Confirmed));
     }
 }
--- a/crates/core/src/failover.rs
+++ b/crates/core/src/failover.rs
@@ -7,14 +7,16 @@
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-use rushyoke_failover::{Access, Drain, Evacuation, Failover, FleetView, TierQuery, Transition, ZoneState, ZoneView};
+use rushyoke_failover::{
+    Access, DrainReasons, Evacuation, Failover, FleetView, TierQuery, Transition, ZoneState, ZoneView,
+};
 use rushyoke_wire::store::{Item, Txn};
 
 use crate::calls::Batch;
 use crate::env::Env;
 use crate::fleet::Machine;
 use crate::jobs::*;
-use crate::quota::Room;
+use crate::quota::Resources;
 use crate::term::Term;
 
 /// What speaks against a machine in a zone on probation for careful work, in seconds, after a first loss:
@@ -34,16 +36,16 @@
     view.machines += 1;
     view.overdue += usize::from(overdue);
     view.unreachable += usize::from(unreachable);
-    view.out += usize::from(out);
+    view.out_of_contact += usize::from(out);
     view.ordinary += usize::from(!machine.spot);
-    view.ordinary_out += usize::from(out && !machine.spot);
+    view.ordinary_out_of_contact += usize::from(out && !machine.spot);
     view.in_time += usize::from(in_time && !out);
     if out {
-        view.tasks_out += machine.places.len();
+        view.tasks_out_of_contact += machine.places.len();
     } else {
         view.cpus += machine.total.cpus;
     }
-    view.largest_machine = view.largest_machine.max(machine.total.cpus);
+    view.largest_machine_cpus = view.largest_machine_cpus.max(machine.total.cpus);
 }
 
 impl Term {
@@ -58,12 +60,12 @@
         let Some(failover) = &mut self.failover else { return };
         let fleet = FleetView {
             zones,
-            sampled_cut: self.survey.sampled_cut().clone(),
-            answering: self.controllers.zones.clone(),
-            controllers: self.controllers.others,
-            controllers_answering: self.controllers.answering,
-            gave_way: self.controllers.gave_way,
-            settling,
+            sampled_partitioned: self.survey.sampled_cut().clone(),
+            zones_with_controller: self.controllers.zones.clone(),
+            other_controllers: self.controllers.others,
+            responding_controllers: self.controllers.answering,
+            stepped_down: self.controllers.gave_way,
+            workers_reconnecting: settling,
         };
         let observation = failover.observe(now, &fleet);
         if observation.minority && !self.in_minority {
@@ -74,7 +76,7 @@
         for transition in &observation.transitions {
             log_transition(failover, now, transition);
         }
-        if let Some(evacuation) = &observation.evacuated {
+        if let Some(evacuation) = &observation.finished_evacuation {
             log_evacuation(failover, evacuation);
         }
         self.apply_verdicts(now);
@@ -109,7 +111,7 @@
     /// Whether a zone takes no work at all.
     pub fn zone_is_closed(&self, zone: &str) -> bool {
         let lost = self.zone_is_lost(zone);
-        lost || self.failover.as_ref().is_some_and(|failover| failover.settings().held_out.contains(zone))
+        lost || self.failover.as_ref().is_some_and(|failover| failover.settings().excluded_zones.contains(zone))
     }
 
     fn zone_is_lost(&self, zone: &str) -> bool {
@@ -123,7 +125,7 @@
 
     /// Whether placement goes by tiers, since a zone is being evacuated.
     pub fn evacuates(&self) -> bool {
-        self.failover.as_ref().is_some_and(Failover::evacuates)
+        self.failover.as_ref().is_some_and(Failover::is_evacuating)
     }
 
     /// A job's tier; the lower goes first.
@@ -137,7 +139,7 @@
     /// evacuated the latest tier makes way first, though tasks of an earlier one have just begun.
     pub fn tier_weight(&self, job: &Job) -> f64 {
         match &self.failover {
-            Some(failover) if failover.evacuates() => {
+            Some(failover) if failover.is_evacuating() => {
                 (failover.settings().tier_count() - self.tier_of(job)) as f64 * TIER_WEIGHT
             }
             _ => 0.0,
@@ -161,7 +163,7 @@
     }
 
     /// Whether a returning zone takes so many CPUs now.
-    pub fn zone_admits(&self, machine: &Machine, need: Room) -> bool {
+    pub fn zone_admits(&self, machine: &Machine, need: Resources) -> bool {
         machine.access != Access::Ramped
             || self.failover.as_ref().is_none_or(|failover| failover.admits(&machine.zone, need.cpus))
     }
@@ -169,7 +171,7 @@
     /// What speaks against a machine for work that keeps off zones on probation, in seconds.
     pub fn probation_cost_s(&self, now: Instant, job: &Job, machine: &Machine) -> f64 {
         let Some(failover) = self.failover.as_ref().filter(|_| machine.zone_unhealthy) else { return 0.0 };
-        if !failover.settings().is_careful(self.tier_of(job)) {
+        if !failover.settings().avoids_probation(self.tier_of(job)) {
             return 0.0;
         }
         let factor = failover.zone(&machine.zone).map_or(1.0, |zone| zone.flap_factor(now, failover.settings()));
@@ -189,7 +191,7 @@
     pub fn kept_with_zone(&self, now: Instant, machine: &Machine, lease_end: Instant) -> bool {
         let Some(failover) = &self.failover else { return false };
         let Some(zone) = failover.zone(&machine.zone) else { return false };
-        let keep = failover.settings().keep_machines;
+        let keep = failover.settings().machine_retention;
         match zone.state() {
             ZoneState::Lost => now < lease_end + keep,
             ZoneState::Returning => now < zone.since() + keep,
@@ -232,7 +234,7 @@
         let Some(failover) = &mut self.failover else { return };
         failover.task_placed(now, key);
         if let (Some(machine), Some(job)) = (self.machines.get(machine), self.jobs.get(&key.0)) {
-            failover.take(&machine.zone, job.spec.cpus);
+            failover.charge_admission(&machine.zone, job.spec.cpus);
         }
     }
 
@@ -246,26 +248,28 @@
     // The record.
 
     pub fn zones_unwritten(&self) -> bool {
-        self.failover.as_ref().is_some_and(Failover::is_unwritten)
+        self.failover.as_ref().is_some_and(Failover::has_unwritten_changes)
     }
 
     pub fn zones_not_written(&mut self) {
         if let Some(failover) = &mut self.failover {
-            failover.not_written();
+            failover.mark_unwritten();
         }
     }
 
     /// Writes what is known of zones. Only beside a write of the last segment, which keeps a late copy of
     /// this transaction from being applied.
     pub fn write_zones(&mut self, env: &Env, txn: &mut Txn, batch: &mut Batch) {
-        let Some(failover) = self.failover.as_mut().filter(|failover| batch.segment && failover.is_unwritten()) else {
+        let Some(failover) =
+            self.failover.as_mut().filter(|failover| batch.segment && failover.has_unwritten_changes())
+        else {
             return;
         };
         if txn.writes.len() >= env.facts.txn_ops {
             return;
         }
         let room = env.facts.value_bytes.saturating_sub(RECORD_SPARE);
-        let record = failover.record(env.steady(), env.now.wall_ms, room);
+        let record = failover.to_record(env.steady(), env.now.wall_ms, room);
         let value = serde_json::to_value(record).expect("records always encode");
         *txn = std::mem::take(txn).put(rushyoke_failover::RECORD_KEY, value);
         batch.failover = true;
@@ -289,14 +293,14 @@
         // Later it may seem to be more than enough only because it is out of reach.
         if !machine.suspect && machine.failed_calls() == 0 {
             let (retiring, quarantined, straggling) = (machine.retiring, machine.quarantined, machine.straggler);
-            machine.drain = Drain { retiring, quarantined, straggling };
+            machine.drain = DrainReasons { retiring, quarantined, straggling };
         }
         return;
     }
     if !machine.drain.any() {
-        machine.drain = failover.drain_of(&machine.name);
+        machine.drain = failover.recorded_drain(&machine.name);
     }
-    failover.keep_drain(&machine.name, machine.drain);
+    failover.record_drain(&machine.name, machine.drain);
     machine.quarantined |= machine.drain.quarantined;
     machine.retiring |= machine.drain.retiring;
     machine.straggler |= machine.drain.straggling;
@@ -313,9 +317,9 @@
 }
 
 fn log_evacuation(failover: &Failover, evacuation: &Evacuation) {
-    for (tier, count) in evacuation.tiers.iter().enumerate().filter(|(_, count)| count.lost > 0) {
+    for (tier, count) in evacuation.tiers.iter().enumerate().filter(|(_, count)| count.displaced > 0) {
         let name = failover.settings().tier_name(tier);
-        let last_placed_ms = count.last_placed.as_millis() as u64;
-        tracing::info!(tier = name, lost = count.lost, placed = count.placed, last_placed_ms, "evacuated");
+        let last_placed_ms = count.last_placed_after.as_millis() as u64;
+        tracing::info!(tier = name, lost = count.displaced, placed = count.placed, last_placed_ms, "evacuated");
     }
 }
--- a/crates/core/src/fleet/machine.rs
+++ b/crates/core/src/fleet/machine.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
 
-use rushyoke_failover::{Access, Drain};
+use rushyoke_failover::{Access, DrainReasons};
 use rushyoke_wire::cloud::MachineType;
 use rushyoke_wire::job::{JobSpec, Kind};
 use rushyoke_wire::worker::Report;
@@ -12,7 +12,7 @@
 use super::images::ImageCache;
 use super::{Attempt, LATEST_REPORT, PROMPT, Via};
 use crate::jobs::{Name, TaskKey};
-use crate::quota::Room;
+use crate::quota::Resources;
 
 /// Failed calls in a row from which on a machine that reports all the same is no capacity.
 const FAILED_CALLS: u32 = 3;
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Claim {
     pub job: Name,
-    pub room: Room,
+    pub room: Resources,
     pub until: Instant,
     /// Others were stopped for it; else it waits for what comes free.
     pub made: bool,
@@ -41,8 +41,8 @@
     pub up: bool,
     /// When it was rented or first known.
     pub known: Instant,
-    pub total: Room,
-    pub used: Room,
+    pub total: Resources,
+    pub used: Resources,
     pub places: BTreeSet<TaskKey>,
     pub(super) session: u64,
     pub(super) seq: u64,
@@ -109,7 +109,7 @@
     pub access: Access,
     /// Its zone is not healthy: what it was drained for when that was seen still holds.
     pub zone_unhealthy: bool,
-    pub drain: Drain,
+    pub drain: DrainReasons,
 }
 
 impl Machine {
@@ -122,8 +122,8 @@
             spot: false,
             up: false,
             known: now,
-            total: Room::default(),
-            used: Room::default(),
+            total: Resources::default(),
+            used: Resources::default(),
             places: BTreeSet::new(),
             session: 0,
             seq: 0,
@@ -165,7 +165,7 @@
             level: 0,
             access: Access::Open,
             zone_unhealthy: false,
-            drain: Drain::default(),
+            drain: DrainReasons::default(),
         }
     }
 
@@ -195,7 +195,7 @@
     /// What the cloud says of its type, if it does.
     pub fn set_type(&mut self, kind: Option<&MachineType>) {
         if let Some(kind) = kind {
-            self.total = Room { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
+            self.total = Resources { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
             self.images.resize(kind.cache_gb);
         }
     }
@@ -204,7 +204,7 @@
         if self.places.insert(key) {
             self.orders_due = true;
             self.services += u32::from(spec.kind == Kind::Service);
-            self.used.add(Room::of(spec));
+            self.used.add(Resources::of(spec));
             self.idle_since = None;
         }
     }
@@ -212,9 +212,9 @@
     pub(super) fn release(&mut self, key: &TaskKey, spec: &JobSpec, now: Instant) {
         if self.places.remove(key) {
             self.services -= u32::from(spec.kind == Kind::Service);
-            self.used.sub(Room::of(spec));
+            self.used.sub(Resources::of(spec));
             if self.places.is_empty() {
-                self.used = Room::default();
+                self.used = Resources::default();
                 self.idle_since = Some(now);
             }
         }
@@ -254,7 +254,7 @@
     }
 
     /// Whether it was being drained for a reason when its zone was suspected.
-    pub fn was_drained(&self, reason: fn(Drain) -> bool) -> bool {
+    pub fn was_drained(&self, reason: fn(DrainReasons) -> bool) -> bool {
         self.zone_unhealthy && reason(self.drain)
     }
 
--- a/crates/core/src/fleet/silence.rs
+++ b/crates/core/src/fleet/silence.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use rushyoke_failover::{Silent, ZoneView};
+use rushyoke_failover::{MachineCounts, ZoneView};
 
 use super::calls::CallReason;
 use super::lease::LeaseBounds;
@@ -47,8 +47,8 @@
     lapsed: Vec<Name>,
     unreporting: Vec<Name>,
     silent: Vec<Name>,
-    all: Silent,
-    quiet: Silent,
+    all: MachineCounts,
+    quiet: MachineCounts,
     /// What is seen of each zone, if zones are judged.
     zones: BTreeMap<String, ZoneView>,
 }
@@ -101,7 +101,7 @@
         let mut findings = Findings::default();
         for machine in self.machines.values_mut().filter(|m| m.up) {
             findings.up += 1;
-            findings.all.note(machine.spot);
+            findings.all.add_machine(machine.spot);
             if machine.claim.as_ref().is_some_and(|claim| claim.until <= now) {
                 machine.claim = None;
             }
@@ -113,7 +113,7 @@
             findings.failing += usize::from(machine.probes_failed > 0 && !machine.leaving);
             findings.call_failed |= machine.failed_calls > 0 && !machine.leaving;
             if quiet > late || unreached {
-                findings.quiet.note(machine.spot);
+                findings.quiet.add_machine(machine.spot);
             }
             // One that never reported here may still look for this node.
             let looking = if machine.answered.is_some() { Duration::ZERO } else { find_after };
--- a/crates/core/src/fleet/survey.rs
+++ b/crates/core/src/fleet/survey.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use rand::seq::IteratorRandom;
-use rushyoke_failover::{Silent, SurveySample};
+use rushyoke_failover::{MachineCounts, SurveySample};
 
 use super::Machine;
 use crate::env::Env;
@@ -34,7 +34,7 @@
 impl Term {
     /// Some machines fail to answer: asks a sample of the others, to tell the end of a few
     /// machines from a cut of the network, long before most of their reports are overdue.
-    pub(super) fn survey(&mut self, env: &mut Env, ask: usize, silent: Silent, up: Silent) {
+    pub(super) fn survey(&mut self, env: &mut Env, ask: usize, silent: MachineCounts, up: MachineCounts) {
         let now = env.steady();
         let due = self.survey.asked.is_none_or(|t| now.duration_since(t) >= SURVEY_PERIOD);
         if ask == 0 {
@@ -55,7 +55,7 @@
             self.judge_sample(up);
         }
         let known = self.survey.silent;
-        let silent = Silent { all: silent.all.max(known.all), ordinary: silent.ordinary.max(known.ordinary) };
+        let silent = MachineCounts { all: silent.all.max(known.all), ordinary: silent.ordinary.max(known.ordinary) };
         // Spot machines alone are more likely taken back.
         let many = |silent: usize, up: usize| silent * PARTED_SHARE > up;
         let parted = silent.all >= PARTED
@@ -74,15 +74,15 @@
     }
 
     /// What the sample shows, now that its answers are in.
-    fn judge_sample(&mut self, up: Silent) {
+    fn judge_sample(&mut self, up: MachineCounts) {
         let mut sample = SurveySample::default();
         for machine in self.survey.sample.iter().filter_map(|name| self.machines.get(name)) {
-            sample.note(&machine.zone, machine.spot, machine.probes_failed > 0, machine.failed_calls > 0);
+            sample.add_result(&machine.zone, machine.spot, machine.probes_failed > 0, machine.failed_calls > 0);
         }
-        self.survey.cut_zones = sample.cut_zones();
-        self.survey.silent = sample.silent_of(up);
+        self.survey.cut_zones = sample.partitioned_zones();
+        self.survey.silent = sample.estimate_unresponsive(up);
         // Be they heard or not: other nodes may hand their reports on.
-        self.survey.most = sample.most_are_mute();
+        self.survey.most = sample.most_calls_failed();
     }
 
     /// Whether answers of a sample are still to come: it may be this node that is out of reach.
--- a/crates/core/src/fleet/survey/state.rs
+++ b/crates/core/src/fleet/survey/state.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-use rushyoke_failover::Silent;
+use rushyoke_failover::MachineCounts;
 
 use crate::jobs::Name;
 
@@ -13,7 +13,7 @@
     pub(super) asked: Option<Instant>,
     pub(super) sample: Vec<Name>,
     /// Machines that seem to be out of reach, and the ordinary ones among them.
-    pub(super) silent: Silent,
+    pub(super) silent: MachineCounts,
     pub(super) cut_zones: BTreeSet<String>,
     /// Most are out of reach: this node is, rather than they.
     pub(in crate::fleet) most: bool,
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -11,7 +11,7 @@
 use crate::env::Env;
 use crate::fleet::Machine;
 use crate::jobs::*;
-use crate::quota::Room;
+use crate::quota::Resources;
 use crate::term::Term;
 
 /// What a machine that is empty counts for beside one that is full, in seconds: work is packed.
@@ -54,7 +54,7 @@
         while placed < most {
             let job = &self.jobs[name];
             let way = self.way_of(job);
-            let ranked = self.rank(env, job, Room::of(&job.spec));
+            let ranked = self.rank(env, job, Resources::of(&job.spec));
             let mut reserve = self.reserve_left(env, job);
             let round = Round { job: name, most: most - placed, borrows, way };
             let count = self.place_round(env.steady(), &round, ranked, &mut reserve);
@@ -72,7 +72,7 @@
             return Way::OneByOne;
         }
         match &self.balance {
-            Some(balancer) => Way::Level { within_s: balancer.pricing().crowding_s(job.mean_run_s, ONE_MORE) },
+            Some(balancer) => Way::Level { within_s: balancer.cost_model().contention_s(job.mean_run_s, ONE_MORE) },
             None => Way::Filling,
         }
     }
@@ -116,12 +116,13 @@
     fn starts_there(&mut self, now: Instant, round: &Round, machine: &Name, reserve: &mut f64) -> bool {
         let name = round.job;
         let job = &self.jobs[name];
-        let need = Room::of(&job.spec);
+        let need = Resources::of(&job.spec);
         let Some(task) = job.peek(now) else { return false };
         let target = &self.machines[machine];
         let reserved = !target.spot && *reserve < need.cpus;
         let admitted = self.zone_admits(target, need);
-        if reserved || !admitted || self.is_limited(&job.spec.team, need) || !self.room_for(target, name).holds(need) {
+        if reserved || !admitted || self.is_limited(&job.spec.team, need) || !self.room_for(target, name).can_fit(need)
+        {
             return false;
         }
         let ordinary = !target.spot;
@@ -158,8 +159,8 @@
         if let Some(claim) = &mut target.claim
             && claim.job == *name
         {
-            claim.room.sub(Room::of(&job.spec));
-            if claim.room.is_nothing() {
+            claim.room.sub(Resources::of(&job.spec));
+            if claim.room.is_zero() {
                 target.claim = None;
             }
         }
@@ -192,11 +193,11 @@
             if !used.is_empty() {
                 return Some(used);
             }
-            let need = Room::of(&job.spec);
+            let need = Resources::of(&job.spec);
             // A zone that takes no work is chosen only if there is no other.
             let room = |zone: &String| -> (bool, u32) {
                 let there = self.machines.values().filter(|m| m.zone == *zone && allowed(&job.spec, m));
-                let room = there.map(|m| m.total.minus(m.used).times(need)).sum();
+                let room = there.map(|m| m.total.minus(m.used).fit_count(need)).sum();
                 (!self.zone_is_closed(zone), room)
             };
             return counts.into_keys().max_by_key(|zone| room(zone)).map(|zone| BTreeSet::from([zone]));
@@ -206,7 +207,7 @@
     }
 
     /// The machines that could take one more task of a job, the best first.
-    fn rank(&self, env: &mut Env, job: &Job, need: Room) -> Vec<(f64, Name)> {
+    fn rank(&self, env: &mut Env, job: &Job, need: Resources) -> Vec<(f64, Name)> {
         let now = env.steady();
         let zones = self.zones_for(job);
         let mut fitting: Vec<&Machine> = self
@@ -214,7 +215,7 @@
             .values()
             .filter(|m| m.usable(now) && allowed(&job.spec, m))
             .filter(|m| zones.as_ref().is_none_or(|zones| zones.contains(&m.zone)))
-            .filter(|m| self.room_for(m, &job.id).holds(need) && self.zone_admits(m, need))
+            .filter(|m| self.room_for(m, &job.id).can_fit(need) && self.zone_admits(m, need))
             .filter(|m| !job.shuns(&m.name))
             .collect();
         // With more machines than can be weighed for every task, a sample does; a larger one
@@ -254,9 +255,9 @@
         let free = (machine.total.cpus - machine.used.cpus) / machine.total.cpus.max(1.0);
         match &self.balance {
             Some(balancer) if job.spec.kind == Kind::Array => {
-                let share = Room::of(&job.spec).dominant_share(machine.total);
-                let used = balancer.load().use_of(&machine.name).unwrap_or(1.0 - free);
-                balancer.pricing().crowding_s(job.mean_run_s, used + share)
+                let share = Resources::of(&job.spec).dominant_share(machine.total);
+                let used = balancer.load().utilization(&machine.name).unwrap_or(1.0 - free);
+                balancer.cost_model().contention_s(job.mean_run_s, used + share)
             }
             _ => PACKING_S * free,
         }
@@ -282,7 +283,7 @@
     }
 
     /// Room on a machine that nothing takes, and that no open move has booked.
-    pub fn free_room(&self, machine: &Machine) -> Room {
+    pub fn free_room(&self, machine: &Machine) -> Resources {
         let free = machine.total.minus(machine.used);
         match &self.balance {
             Some(balancer) => free.minus(balancer.load().booked(&machine.name)),
@@ -291,7 +292,7 @@
     }
 
     /// Free room on a machine for this job: room made for another is left alone.
-    pub fn room_for(&self, machine: &Machine, job: &Name) -> Room {
+    pub fn room_for(&self, machine: &Machine, job: &Name) -> Resources {
         let mut room = self.free_room(machine);
         if let Some(claim) = &machine.claim
             && claim.job != *job
--- a/crates/core/src/place/pass.rs
+++ b/crates/core/src/place/pass.rs
@@ -9,7 +9,7 @@
 
 use crate::env::Env;
 use crate::jobs::*;
-use crate::quota::Room;
+use crate::quota::Resources;
 use crate::term::Term;
 
 /// Tasks placed in one pass, or one for each machine if these are more; the rest comes with
@@ -79,7 +79,7 @@
     misses: u32,
     stops: u32,
     /// The most room on any machine, for work that may use spot machines and for all.
-    most: [Room; 2],
+    most: [Resources; 2],
     /// Teams at their limit, and the priority of the job that waits for it: what comes free goes to
     /// that job and not to a lesser one of the same pass.
     held: BTreeMap<String, Priority>,
@@ -203,12 +203,12 @@
 
     /// The most room on any machine, for work that may use spot machines and for all: it only shrinks
     /// within a pass, and most jobs that wait in a full fleet need more.
-    fn most_room(&self, now: Instant) -> [Room; 2] {
-        let mut most = [Room::default(); 2];
+    fn most_room(&self, now: Instant) -> [Resources; 2] {
+        let mut most = [Resources::default(); 2];
         for machine in self.machines.values().filter(|m| m.usable(now)) {
             let free = machine.total.minus(machine.used);
             let kinds = if machine.spot { &mut most[..1] } else { &mut most[..] };
-            kinds.iter_mut().for_each(|room| room.widen(free));
+            kinds.iter_mut().for_each(|room| room.expand_to(free));
         }
         most
     }
@@ -216,9 +216,9 @@
     /// A job's turn: places its tasks, and sees to those that find no room.
     fn serve(&mut self, env: &mut Env, pass: &mut Pass, turn: &Turn) {
         let spec = &self.jobs[&turn.job].spec;
-        let need = Room::of(spec);
+        let need = Resources::of(spec);
         let limited = self.is_limited(&spec.team, need);
-        if !limited && pass.most[usize::from(!spec.spot)].holds(need) {
+        if !limited && pass.most[usize::from(!spec.spot)].can_fit(need) {
             let share = if turn.starved { pass.left.min(self.jobs[&turn.job].slice) } else { pass.left };
             let borrows = turn.class == Class::Beyond && !turn.starved;
             pass.left -= self.place_job(env, &turn.job, share, borrows);
@@ -232,7 +232,7 @@
     }
 
     /// Whether the team's limit lets no task of this size start.
-    pub fn is_limited(&self, team: &str, need: Room) -> bool {
+    pub fn is_limited(&self, team: &str, need: Resources) -> bool {
         self.quotas.usage(team).is_none_or(|usage| usage.headroom(need) == 0)
     }
 
@@ -251,7 +251,7 @@
 
     /// Tasks of the job found no room: others are stopped, or what comes free is kept, as far as its
     /// class allows.
-    fn make_way(&mut self, env: &mut Env, pass: &mut Pass, turn: &Turn, need: Room) {
+    fn make_way(&mut self, env: &mut Env, pass: &mut Pass, turn: &Turn, need: Resources) {
         let job = &self.jobs[&turn.job];
         let at_limit = self.quotas.usage(&job.spec.team).is_some_and(|usage| usage.headroom(need) == 0);
         if at_limit {
--- a/crates/core/src/preempt.rs
+++ b/crates/core/src/preempt.rs
@@ -11,7 +11,7 @@
 use crate::fleet::{Claim, Machine};
 use crate::jobs::*;
 use crate::place::{CLAIM_FOR, allowed};
-use crate::quota::Room;
+use crate::quota::Resources;
 use crate::term::Term;
 
 /// How long room that comes free is kept for a job.
@@ -29,7 +29,7 @@
 struct Plan {
     machine: Name,
     victims: Vec<TaskKey>,
-    freed: Room,
+    freed: Resources,
     tasks: u32,
     lost_s: f64,
 }
@@ -59,13 +59,13 @@
 impl Term {
     pub fn make_room(&mut self, env: &mut Env, name: &Name, within: &BTreeSet<Name>) {
         let job = &self.jobs[name];
-        let need = Room::of(&job.spec);
+        let need = Resources::of(&job.spec);
         let quota = self.quotas.usage(&job.spec.team).map_or(0, |u| u.headroom(need));
         let claimed: u32 = self
             .machines
             .values()
             .filter_map(|m| m.claim.as_ref().filter(|claim| claim.job == *name && claim.made))
-            .map(|claim| claim.room.times(need))
+            .map(|claim| claim.room.fit_count(need))
             .sum();
         let mut wanted = job.waiting().min(quota).saturating_sub(claimed);
         for _ in 0..PER_PASS {
@@ -101,13 +101,13 @@
     pub fn hold_room(&mut self, env: &Env, name: &Name, most: usize) {
         let now = env.steady();
         let job = &self.jobs[name];
-        let need = Room::of(&job.spec);
+        let need = Resources::of(&job.spec);
         let zones = self.zones_for(job);
         let fits = |m: &&Machine| {
             m.usable(now)
                 && m.claim.is_none()
                 && allowed(&job.spec, m)
-                && m.total.holds(need)
+                && m.total.can_fit(need)
                 && zones.as_ref().is_none_or(|zones| zones.contains(&m.zone))
         };
         let held = self.machines.values().filter(|m| m.claim.as_ref().is_some_and(|c| c.job == *name)).count();
@@ -126,12 +126,12 @@
     pub fn make_quota(&mut self, env: &mut Env, name: &Name, within: &BTreeSet<Name>) {
         let now = env.steady();
         let job = &self.jobs[name];
-        let need = Room::of(&job.spec);
+        let need = Resources::of(&job.spec);
         let Some(usage) = self.quotas.usage(&job.spec.team) else { return };
         let mut have = usage.left();
-        let mut victims: Vec<(f64, TaskKey, Room)> = Vec::new();
+        let mut victims: Vec<(f64, TaskKey, Resources)> = Vec::new();
         for other in self.jobs.values().filter(|other| other.spec.team == job.spec.team) {
-            let room = Room::of(&other.spec);
+            let room = Resources::of(&other.spec);
             for (task, place) in &other.places {
                 if place.stop.is_some() {
                     have.add(room);
@@ -147,7 +147,7 @@
         let urgent = job.spec.priority == Priority::Production;
         let mut stopped = 0;
         for (_, (victim, task), room) in victims {
-            if have.times(need) >= wanted {
+            if have.fit_count(need) >= wanted {
                 break;
             }
             have.add(room);
@@ -184,7 +184,7 @@
     fn best_plan(&self, env: &mut Env, name: &Name, within: &BTreeSet<Name>, wanted: u32) -> Option<Plan> {
         let now = env.steady();
         let job = &self.jobs[name];
-        let need = Room::of(&job.spec);
+        let need = Resources::of(&job.spec);
         let zones = self.zones_for(job);
         let fits = |machine: &&Machine| {
             let taken = machine.claim.as_ref().is_some_and(|claim| claim.job != *name || claim.made);
@@ -193,7 +193,7 @@
                 && !taken
                 && allowed(&job.spec, machine)
                 && zones.as_ref().is_none_or(|zones| zones.contains(&machine.zone))
-                && machine.total.holds(need)
+                && machine.total.can_fit(need)
         };
         let mut fitting: Vec<&Machine> = self.machines.values().filter(fits).collect();
         let most = env.policy.sample * SAMPLES;
@@ -202,33 +202,33 @@
         }
         let mut best: Option<Plan> = None;
         for machine in fitting {
-            let mut victims: Vec<(f64, TaskKey, Room)> = Vec::new();
+            let mut victims: Vec<(f64, TaskKey, Resources)> = Vec::new();
             let mut freed = self.free_room(machine);
             for key in &machine.places {
                 let owner = &self.jobs[&key.0];
                 let place = &owner.places[&key.1];
                 if place.stop.is_some() {
                     // Its room comes free by itself.
-                    freed.add(Room::of(&owner.spec));
+                    freed.add(Resources::of(&owner.spec));
                 } else if self.may_stop(owner, job, within) {
                     let lost = lost_s(now, owner, place) + self.tier_weight(owner);
-                    victims.push((lost, key.clone(), Room::of(&owner.spec)));
+                    victims.push((lost, key.clone(), Resources::of(&owner.spec)));
                 }
             }
-            if freed.holds(need) {
+            if freed.can_fit(need) {
                 continue;
             }
             victims.sort_by(|a, b| a.0.total_cmp(&b.0));
             let mut plan = Plan { machine: machine.name.clone(), victims: Vec::new(), freed, tasks: 0, lost_s: 0.0 };
             for (lost, key, room) in victims {
-                if plan.freed.times(need) >= wanted {
+                if plan.freed.fit_count(need) >= wanted {
                     break;
                 }
                 plan.freed.add(room);
                 plan.lost_s += lost;
                 plan.victims.push(key);
             }
-            plan.tasks = plan.freed.times(need).min(wanted);
+            plan.tasks = plan.freed.fit_count(need).min(wanted);
             let per_task = |plan: &Plan| plan.lost_s / f64::from(plan.tasks);
             if plan.tasks > 0 && best.as_ref().is_none_or(|b| per_task(&plan) < per_task(b)) {
                 best = Some(plan);
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -8,10 +8,10 @@
 use crate::facts::Team;
 use crate::jobs::{Job, Name};
 
-pub(crate) use rushyoke_balance::Resources as Room;
+pub(crate) use rushyoke_balance::Resources;
 
 /// Amounts compare with this slack, since sums of decimals are not exact.
-pub(crate) const SLACK: f64 = Room::SLACK;
+pub(crate) const SLACK: f64 = Resources::TOLERANCE;
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Usage {
@@ -22,13 +22,13 @@
 
 impl Usage {
     /// How many more tasks of this size the limit allows.
-    pub fn headroom(&self, need: Room) -> u32 {
-        self.left().times(Room { memory_gb: 0.0, ..need })
+    pub fn headroom(&self, need: Resources) -> u32 {
+        self.left().fit_count(Resources { memory_gb: 0.0, ..need })
     }
 
     /// What the limit leaves; memory is not limited.
-    pub fn left(&self) -> Room {
-        Room { cpus: self.team.cpus_max - self.cpus, gpus: self.team.gpus_max - self.gpus, memory_gb: 0.0 }
+    pub fn left(&self) -> Resources {
+        Resources { cpus: self.team.cpus_max - self.cpus, gpus: self.team.gpus_max - self.gpus, memory_gb: 0.0 }
     }
 
     /// Whether the team uses more than it is guaranteed.
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -65,10 +65,10 @@
         }
         self.speculation.forget(name);
         if let Some(balancer) = &mut self.balance {
-            balancer.job_over(name);
+            balancer.job_ended(name);
         }
         if let Some(failover) = &mut self.failover {
-            failover.job_over(name);
+            failover.job_ended(name);
         }
         self.progress.remove(name);
     }
--- a/crates/core/src/recover/load.rs
+++ b/crates/core/src/recover/load.rs
@@ -12,7 +12,7 @@
 use crate::fleet::Machine;
 use crate::io::*;
 use crate::jobs::*;
-use crate::quota::Room;
+use crate::quota::Resources;
 
 use super::{LIVE, LOG, RETRY, TASK};
 use crate::term::{Load, Term};
@@ -279,7 +279,7 @@
                 self.quotas.add(&job.spec);
                 if let Some(balancer) = &mut self.balance {
                     let team = Name::from(job.spec.team.as_str());
-                    balancer.placed(now, &(id.clone(), *task), name, &team, Room::of(&job.spec));
+                    balancer.task_placed(now, &(id.clone(), *task), name, &team, Resources::of(&job.spec));
                 }
             }
         }
--- a/crates/core/src/rent.rs
+++ b/crates/core/src/rent.rs
@@ -15,7 +15,7 @@
 use crate::fleet::Machine;
 use crate::io::*;
 use crate::jobs::Name;
-use crate::quota::Room;
+use crate::quota::Resources;
 use crate::term::Term;
 use demand::missing;
 use renting::Market;
@@ -47,7 +47,7 @@
 const MOVES_SAVED: f64 = 8.0;
 
 /// What is wanted or had of one kind, in machines of a type.
-fn machines_of(room: Room, kind: &MachineType) -> f64 {
+fn machines_of(room: Resources, kind: &MachineType) -> f64 {
     let part = |want: f64, have: f64| {
         if want <= 0.0 {
             0.0
@@ -89,14 +89,14 @@
     /// Rents machines for `room`; spot work falls back on ordinary machines. All of it at
     /// once, as far as the cloud's calls go: in a large fleet a part each second would take
     /// minutes, while jobs wait for their first task.
-    fn rent_kind(&mut self, env: &mut Env, mut room: Room, spot: bool, within: Option<&[String]>) {
+    fn rent_kind(&mut self, env: &mut Env, mut room: Resources, spot: bool, within: Option<&[String]>) {
         let now = env.steady();
         self.renting.refused.retain(|_, until| *until > now);
         let mut there: BTreeMap<String, u32> = BTreeMap::new();
         for machine in self.machines.values() {
             *there.entry(machine.zone.clone()).or_default() += 1;
         }
-        while !room.is_nothing() && self.renting.calls > 0 {
+        while !room.is_zero() && self.renting.calls > 0 {
             let mut options: Vec<(f64, f64, Market)> = Vec::new();
             for kind in env.types.iter() {
                 let count = machines_of(room, kind);
@@ -130,7 +130,7 @@
             let request = format!("r-{}-{}", self.token, self.renting.serial);
             tracing::info!(request, kind, zone, spot, count, "renting");
             if let Some(kind) = env.type_named(&kind) {
-                let rented = Room { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
+                let rented = Resources { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
                 room = missing(room, rented.scaled(f64::from(count)));
             }
             *there.entry(zone.clone()).or_default() += count;
--- a/crates/core/src/rent/demand.rs
+++ b/crates/core/src/rent/demand.rs
@@ -4,7 +4,7 @@
 
 use crate::env::Env;
 use crate::jobs::Job;
-use crate::quota::Room;
+use crate::quota::Resources;
 use crate::term::Term;
 
 use super::{LATE_BOOT, LEAST_RENTALS, RENTAL_SHARE};
@@ -23,15 +23,15 @@
 #[derive(Default)]
 struct Demand {
     /// Of work that may use spot machines.
-    spot: Room,
+    spot: Resources,
     /// Of work that may not.
-    ordinary: Room,
+    ordinary: Resources,
     /// Of work that is bound to zones.
-    bound: BTreeMap<Binding, Room>,
+    bound: BTreeMap<Binding, Resources>,
 }
 
 impl Demand {
-    fn add(&mut self, spot: bool, need: Room) {
+    fn add(&mut self, spot: bool, need: Resources) {
         let room = if spot { &mut self.spot } else { &mut self.ordinary };
         room.add(need);
     }
@@ -40,24 +40,24 @@
 /// Room that is free, or will be.
 #[derive(Default)]
 struct Supply {
-    spot: Room,
-    ordinary: Room,
+    spot: Resources,
+    ordinary: Resources,
     /// By zone, and whether on spot machines.
-    zones: BTreeMap<(String, bool), Room>,
+    zones: BTreeMap<(String, bool), Resources>,
     /// CPUs that are in use.
     in_use: f64,
 }
 
 impl Supply {
-    fn add(&mut self, zone: &str, spot: bool, free: Room) {
+    fn add(&mut self, zone: &str, spot: bool, free: Resources) {
         let room = if spot { &mut self.spot } else { &mut self.ordinary };
         room.add(free);
         self.zones.entry((zone.to_owned(), spot)).or_default().add(free);
     }
 
     /// What is free for work that is bound to zones.
-    fn within(&self, binding: &Binding) -> Room {
-        let mut free = Room::default();
+    fn within(&self, binding: &Binding) -> Resources {
+        let mut free = Resources::default();
         for ((zone, spot), room) in &self.zones {
             if binding.zones.contains(zone) && (binding.spot || !spot) {
                 free.add(*room);
@@ -130,7 +130,7 @@
     fn rent_bound(&mut self, env: &mut Env, demand: &mut Demand, supply: &Supply) {
         for (binding, need) in std::mem::take(&mut demand.bound) {
             let gap = missing(need, supply.within(&binding));
-            if !gap.is_nothing() {
+            if !gap.is_zero() {
                 self.rent_kind(env, gap, binding.spot, Some(&binding.zones));
             }
             demand.add(binding.spot, need.minus(gap));
@@ -153,7 +153,7 @@
             if tasks == 0.0 {
                 continue;
             }
-            let need = Room::of(&job.spec).scaled(tasks);
+            let need = Resources::of(&job.spec).scaled(tasks);
             match self.bound_to(job) {
                 Some(zones) => demand.bound.entry(Binding { zones, spot: job.spec.spot }).or_default().add(need),
                 None => demand.add(job.spec.spot, need),
@@ -166,7 +166,7 @@
                 // What is bound to its zone waits for it.
                 let elsewhere = job.spec.zone.as_ref() != Some(&machine.zone);
                 if elsewhere && wanted(tier(job)) {
-                    demand.add(job.spec.spot, Room::of(&job.spec));
+                    demand.add(job.spec.spot, Resources::of(&job.spec));
                 }
             }
         }
@@ -189,7 +189,7 @@
         }
         for (rental, _) in &self.renting.open {
             if let Some(kind) = env.type_named(&rental.kind) {
-                let room = Room { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
+                let room = Resources { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
                 supply.add(&rental.zone, rental.spot, room.scaled(f64::from(rental.count)));
             }
         }
@@ -208,7 +208,7 @@
     }
 }
 
-pub(super) fn missing(need: Room, free: Room) -> Room {
+pub(super) fn missing(need: Resources, free: Resources) -> Resources {
     let gap = need.minus(free);
-    Room { cpus: gap.cpus.max(0.0), gpus: gap.gpus.max(0.0), memory_gb: gap.memory_gb.max(0.0) }
+    Resources { cpus: gap.cpus.max(0.0), gpus: gap.gpus.max(0.0), memory_gb: gap.memory_gb.max(0.0) }
 }
--- a/crates/core/src/rent/returns.rs
+++ b/crates/core/src/rent/returns.rs
@@ -11,7 +11,7 @@
 use crate::io::*;
 use crate::jobs::*;
 use crate::place::{CLAIM_FOR, allowed};
-use crate::quota::Room;
+use crate::quota::Resources;
 use crate::term::Term;
 
 use super::{LOST_BOOT, MIN_CHARGE, MOST_RETURNED, MOVE_AFTER_S, MOVED_SHARE, MOVES_SAVED, WITH_REPLICAS_S};
@@ -65,7 +65,7 @@
     /// Whether tasks of the job wait that its team's limit would let run.
     fn could_start(&self, job: &Job) -> bool {
         let usage = self.quotas.usage(&job.spec.team);
-        job.waiting() > 0 && usage.is_some_and(|u| u.headroom(Room::of(&job.spec)) > 0)
+        job.waiting() > 0 && usage.is_some_and(|u| u.headroom(Resources::of(&job.spec)) > 0)
     }
 
     /// Moves the tasks of a retiring machine that save their progress, and replicas, where that
@@ -79,7 +79,7 @@
         let replicas: u32 = self.machines.values().map(Machine::replicas).sum();
         let renting = &mut self.renting;
         renting.moves = (renting.moves + f64::from(replicas) * MOVED_SHARE).min(MOVES_SAVED);
-        let mut free: Vec<(&Machine, Room)> = Vec::new();
+        let mut free: Vec<(&Machine, Resources)> = Vec::new();
         for machine in self.machines.values().filter(|m| m.usable(now) && !m.retiring && m.claim.is_none()) {
             free.push((machine, self.free_room(machine)));
         }
@@ -99,10 +99,10 @@
             let mut plan = Vec::new();
             for key in moved {
                 let job = &self.jobs[&key.0];
-                let need = Room::of(&job.spec);
+                let need = Resources::of(&job.spec);
                 let target = room.iter_mut().find(|(m, r)| {
                     let apart = job.spec.kind == Kind::Array || takes_replica(m, machine, job, &targets);
-                    r.holds(need) && apart && m.images.holds(&job.spec.image)
+                    r.can_fit(need) && apart && m.images.holds(&job.spec.image)
                 });
                 let Some((target, room)) = target else { break };
                 room.sub(need);
@@ -123,7 +123,7 @@
             if spec.kind == Kind::Service {
                 self.renting.moves -= 1.0;
                 let until = now + CLAIM_FOR;
-                let claim = Claim { job: job.clone(), room: Room::of(&spec), until, made: true };
+                let claim = Claim { job: job.clone(), room: Resources::of(&spec), until, made: true };
                 self.machines.get_mut(&target).expect("a target").claim = Some(claim);
             }
             self.stop_task(env, &job, task, spec.save_s);
@@ -195,7 +195,7 @@
             .values()
             .filter(|m| m.up && m.counts() && m.places.is_empty() && !wanted(m))
             // A move is on its way there.
-            .filter(|m| m.total.minus(self.free_room(m)).is_nothing())
+            .filter(|m| m.total.minus(self.free_room(m)).is_zero())
             .filter(|m| m.retiring && now.duration_since(m.known) > MIN_CHARGE)
             .collect();
         // The dearest first.
--- a/crates/core/src/speculate.rs
+++ b/crates/core/src/speculate.rs
@@ -16,7 +16,7 @@
 use crate::fleet::{Claim, Machine};
 use crate::jobs::{Job, Name, Stage, TaskKey};
 use crate::place::allowed;
-use crate::quota::Room;
+use crate::quota::Resources;
 use crate::term::Term;
 
 /// Finished tasks of a type that a machine's vector needs before it says something.
@@ -63,7 +63,7 @@
         );
         let job = self.jobs.get_mut(&best.key.0).expect("a candidate");
         job.restarted.insert(best.key.1);
-        let need = Room::of(&job.spec);
+        let need = Resources::of(&job.spec);
         let grace = if job.spec.checkpoint_s > 0.0 { job.spec.save_s } else { 0.0 };
         let target = self.machines.get_mut(&best.target).expect("a candidate");
         let until = now + crate::place::CLAIM_FOR;
@@ -175,17 +175,17 @@
 
     /// Per level the mean run time of the type, and its containers.
     fn table(&self, job: &Job, cells: &[Option<Cell>], levels: usize) -> Vec<(Option<f64>, f64)> {
-        let need = Room::of(&job.spec);
+        let need = Resources::of(&job.spec);
         let mut table: Vec<(Option<f64>, f64)> = (0..levels).map(|l| (cells[l].map(|c| c.mean), 0.0)).collect();
         for machine in self.machines.values().filter(|m| m.up && m.counts() && allowed(&job.spec, m)) {
-            table[machine.level.min(levels - 1)].1 += f64::from(machine.total.times(need));
+            table[machine.level.min(levels - 1)].1 += f64::from(machine.total.fit_count(need));
         }
         table
     }
 
     /// A machine with room now, no straggler, at or above the minimum level.
     fn target(&self, now: Instant, job: &Job, minimum: usize, from: &Name) -> Option<Name> {
-        let need = Room::of(&job.spec);
+        let need = Resources::of(&job.spec);
         let zones = self.zones_for(job);
         let fits = |m: &&Machine| {
             m.name != *from
@@ -196,7 +196,7 @@
                 && m.in_open_zone()
                 && allowed(&job.spec, m)
                 && zones.as_ref().is_none_or(|zones| zones.contains(&m.zone))
-                && self.room_for(m, &job.id).holds(need)
+                && self.room_for(m, &job.id).can_fit(need)
         };
         let best = self.machines.values().filter(fits).max_by(|a, b| {
             a.images.holds(&job.spec.image).cmp(&b.images.holds(&job.spec.image)).then(a.level.cmp(&b.level))
--- a/crates/core/src/spread.rs
+++ b/crates/core/src/spread.rs
@@ -7,7 +7,8 @@
 use std::time::{Duration, Instant};
 
 use rushyoke_balance::{
-    Balancer, Borrow, Candidate, FleetView, GiveUp, MachineInfo, Move, MoveEnd, MoveState, OpenMove, OpenMoves,
+    Balancer, BorrowRequest, Candidate, FleetView, GiveUpReason, MachineInfo, Move, MoveEnd, MoveState, OpenMove,
+    OpenMoves,
 };
 use rushyoke_wire::job::{Kind, Priority};
 use rushyoke_wire::worker::TaskState;
@@ -16,7 +17,7 @@
 use crate::fleet::Machine;
 use crate::jobs::*;
 use crate::place::allowed;
-use crate::quota::Room;
+use crate::quota::Resources;
 use crate::term::Term;
 
 /// From a direct order to stop until the worker's report shows that the task is gone, beside the time
@@ -66,7 +67,7 @@
         let settings = self.balancer.settings();
         let movable = job.spec.kind == Kind::Array
             && job.spec.priority != Priority::Production
-            && !settings.protected.contains(&job.spec.class)
+            && !settings.protected_classes.contains(&job.spec.class)
             && !job.restarted.contains(&key.1)
             && !job.rescued
             && place.stop.is_none()
@@ -76,16 +77,16 @@
         }
         let ran = place.running.map_or(0.0, |at| now.duration_since(at).as_secs_f64());
         let saves = job.spec.checkpoint_s > 0.0;
-        if !saves && ran > settings.fresh.as_secs_f64() {
+        if !saves && ran > settings.max_age_without_checkpoint.as_secs_f64() {
             return None;
         }
-        let (repeated_s, save_s) = if saves { (0.0, job.spec.save_s) } else { (ran, 0.0) };
+        let (lost_work_s, save_s) = if saves { (0.0, job.spec.save_s) } else { (ran, 0.0) };
         Some(Candidate {
             key: key.clone(),
             attempt: place.attempt,
-            need: Room::of(&job.spec),
-            left_s: left_s(now, job, place),
-            repeated_s,
+            need: Resources::of(&job.spec),
+            remaining_s: left_s(now, job, place),
+            lost_work_s,
             stop_s: save_s + STOP_S,
         })
     }
@@ -98,7 +99,7 @@
         for candidate in machine.places.iter().filter_map(|key| self.candidate(key)) {
             match candidates.iter_mut().find(|other| other.key.0 == candidate.key.0) {
                 // Tasks of a job are alike: the one with the most left gains the most.
-                Some(other) if other.left_s >= candidate.left_s => {}
+                Some(other) if other.remaining_s >= candidate.remaining_s => {}
                 Some(other) => *other = candidate,
                 None => candidates.push(candidate),
             }
@@ -106,7 +107,7 @@
         candidates
     }
 
-    fn left_s(&self, machine: &Name) -> f64 {
+    fn remaining_s(&self, machine: &Name) -> f64 {
         let now = self.env.steady();
         let horizon = self.balancer.settings().service_horizon.as_secs_f64();
         let places = self.term.machines.get(machine).into_iter().flat_map(|machine| &machine.places);
@@ -128,7 +129,7 @@
             && allowed(&job.spec, target)
             && !job.shuns(machine)
             && self.term.zones_for(job).is_none_or(|zones| zones.contains(&target.zone))
-            && room.holds(task.need)
+            && room.can_fit(task.need)
     }
 
     fn fetch_s(&self, task: &Candidate, machine: &Name) -> f64 {
@@ -144,7 +145,7 @@
     pub fn task_placed(&mut self, now: Instant, key: &TaskKey, machine: &Name) {
         let spec = &self.jobs[&key.0].spec;
         let Some(balancer) = &mut self.balance else { return };
-        balancer.placed(now, key, machine, &Name::from(spec.team.as_str()), Room::of(spec));
+        balancer.task_placed(now, key, machine, &Name::from(spec.team.as_str()), Resources::of(spec));
     }
 
     /// A worker reports a task in another state.
@@ -152,10 +153,10 @@
         let Some(balancer) = &mut self.balance else { return };
         match state {
             TaskState::Running => {
-                let ended = balancer.running(key);
+                let ended = balancer.task_running(key);
                 self.move_ended(ended);
             }
-            TaskState::Saving => balancer.saving(now, key),
+            TaskState::Saving => balancer.task_saving(now, key),
             TaskState::Fetching | TaskState::Exited => {}
         }
     }
@@ -164,7 +165,7 @@
     pub fn task_left(&mut self, now: Instant, key: &TaskKey, waits: bool) {
         let ended = waits || self.jobs.get(&key.0).is_none_or(|job| job.cancelled || job.is_done(key.1));
         let Some(balancer) = &mut self.balance else { return };
-        let ended = balancer.left(now, key, ended);
+        let ended = balancer.task_left(now, key, ended);
         self.vacated_due = true;
         self.move_ended(ended);
     }
@@ -172,8 +173,8 @@
     /// A machine is gone: what was on its way there goes elsewhere.
     pub fn destination_gone(&mut self, name: &Name) {
         let Some(balancer) = &mut self.balance else { return };
-        for key in balancer.machine_gone(name) {
-            self.give_up_move(&key, GiveUp::DestinationGone);
+        for key in balancer.remove_machine(name) {
+            self.give_up_move(&key, GiveUpReason::DestinationGone);
         }
     }
 
@@ -181,7 +182,7 @@
     pub fn moves_cancelled(&mut self, job: &Name) {
         let Some(balancer) = &self.balance else { return };
         for key in balancer.moves().of_job(job) {
-            self.give_up_move(&key, GiveUp::JobCancelled);
+            self.give_up_move(&key, GiveUpReason::JobCancelled);
         }
     }
 
@@ -191,8 +192,8 @@
     pub fn may_borrow(&mut self, now: Instant, name: &Name) -> bool {
         let job = &self.jobs[name];
         let Some(balancer) = &mut self.balance else { return true };
-        let need = Room::of(&job.spec);
-        balancer.may_place(now, &Borrow { job: name, team: &job.spec.team, need, run_s: job.mean_run_s })
+        let need = Resources::of(&job.spec);
+        balancer.may_place(now, &BorrowRequest { job: name, team: &job.spec.team, need, run_s: job.mean_run_s })
     }
 
     /// Whether a team has more than its fair share of the fleet.
@@ -201,7 +202,7 @@
     }
 
     /// Free room on a machine for a job, by the bookings of a balancer that is taken out of the term.
-    fn room_without(&self, balancer: &Balancer, machine: &Machine, job: &Name) -> Room {
+    fn room_without(&self, balancer: &Balancer, machine: &Machine, job: &Name) -> Resources {
         self.room_for(machine, job).minus(balancer.load().booked(&machine.name))
     }
 
@@ -213,17 +214,17 @@
             let claimed = machine.claim.as_ref().filter(|claim| claim.made).map(|claim| claim.room);
             let info = MachineInfo {
                 zone: Name::from(machine.zone.as_str()),
-                total: if machine.up && machine.counts() { machine.total } else { Room::default() },
-                open: is_destination(machine, env),
+                total: if machine.up && machine.counts() { machine.total } else { Resources::default() },
+                accepts_moves: is_destination(machine, env),
                 claimed: claimed.unwrap_or_default(),
             };
-            balancer.machine(&machine.name, info);
+            balancer.update_machine(&machine.name, info);
         }
         let overdue = balancer.tick(now);
         // While bookings wait to be durable the state service is slow or silent: more would be no use.
         if !self.survey_suspects()
             && !self.evacuates()
-            && !balancer.moves().waits_longer(now, MoveState::Booked, BOOKED_SOON)
+            && !balancer.moves().any_in_state_longer(now, MoveState::Booked, BOOKED_SOON)
         {
             self.begin_moves(env, &mut balancer);
         }
@@ -232,11 +233,11 @@
             tracing::info!("balance: {}", balancer.summary());
         }
         self.balance = Some(balancer);
-        overdue.iter().for_each(|key| self.give_up_move(key, GiveUp::TimedOut));
+        overdue.iter().for_each(|key| self.give_up_move(key, GiveUpReason::TimedOut));
         self.vacated_due = true;
     }
 
-    fn give_up_move(&mut self, key: &TaskKey, reason: GiveUp) {
+    fn give_up_move(&mut self, key: &TaskKey, reason: GiveUpReason) {
         let ended = self.balance.as_mut().and_then(|balancer| balancer.give_up(key, reason));
         self.move_ended(ended);
     }
@@ -305,13 +306,13 @@
 
     /// Values of the record of open moves that must be written.
     pub fn moves_unwritten(&self) -> Vec<usize> {
-        self.balance.as_ref().map(|balancer| balancer.moves().unwritten()).unwrap_or_default()
+        self.balance.as_ref().map(|balancer| balancer.moves().unwritten_parts()).unwrap_or_default()
     }
 
     /// A write of values of the record failed, or is in doubt.
     pub fn moves_not_written(&mut self, parts: &[usize]) {
         if let Some(balancer) = &mut self.balance {
-            parts.iter().for_each(|part| balancer.record_is_stale(*part));
+            parts.iter().for_each(|part| balancer.mark_unwritten(*part));
         }
     }
 
@@ -332,22 +333,22 @@
         let place = self.jobs.get(&key.0).and_then(|job| job.places.get(&key.1));
         // Stopped for another reason, or ended and begun anew.
         if place.is_none_or(|place| place.attempt != attempt || place.stop.is_some()) {
-            self.give_up_move(key, GiveUp::LeftEarly);
+            self.give_up_move(key, GiveUpReason::LeftEarly);
             return;
         }
         let target = self.machines.get(&to);
-        let need = Room::of(&self.jobs[&key.0].spec);
+        let need = Resources::of(&self.jobs[&key.0].spec);
         let reason = match target {
-            None => Some(GiveUp::DestinationGone),
-            Some(target) if !is_destination(target, env) => Some(GiveUp::DestinationUnfit),
-            Some(target) if !self.booked_room(target, need) => Some(GiveUp::DestinationFull),
+            None => Some(GiveUpReason::DestinationGone),
+            Some(target) if !is_destination(target, env) => Some(GiveUpReason::DestinationUnfit),
+            Some(target) if !self.booked_room(target, need) => Some(GiveUpReason::DestinationFull),
             Some(_) => None,
         };
         if let Some(reason) = reason {
             self.give_up_move(key, reason);
             return;
         }
-        if self.balance.as_mut().is_some_and(|balancer| balancer.durable(now, key, attempt)) {
+        if self.balance.as_mut().is_some_and(|balancer| balancer.booking_durable(now, key, attempt)) {
             let spec = &self.jobs[&key.0].spec;
             let grace = if spec.checkpoint_s > 0.0 { spec.save_s } else { 0.0 };
             self.stop_task(env, &key.0, key.1, grace);
@@ -355,8 +356,8 @@
     }
 
     /// Whether the room that is booked on a machine for a task is there.
-    fn booked_room(&self, machine: &Machine, need: Room) -> bool {
-        self.free_room(machine).plus(need).holds(need)
+    fn booked_room(&self, machine: &Machine, need: Resources) -> bool {
+        self.free_room(machine).plus(need).can_fit(need)
     }
 
     /// Gives vacated tasks their new places, before anything else can take the room or their team's part.
@@ -377,15 +378,15 @@
         let (name, task) = &open.key;
         let waits = self.jobs.get(name).is_some_and(|job| job.waits(*task));
         let reason = match self.machines.get(&open.to) {
-            _ if !waits => Some(GiveUp::PlacedElsewhere),
+            _ if !waits => Some(GiveUpReason::PlacedElsewhere),
             // Placement goes by tiers.
-            _ if self.evacuates() => Some(GiveUp::Evacuation),
+            _ if self.evacuates() => Some(GiveUpReason::Evacuation),
             // A new leader may not know it yet, or not have reached it.
             Some(target) if !target.is_known() && now.duration_since(open.since) < KNOWN_SOON => return,
             None if now.duration_since(open.since) < KNOWN_SOON => return,
-            None => Some(GiveUp::DestinationGone),
-            Some(target) if !target.usable(now) => Some(GiveUp::DestinationUnfit),
-            Some(target) if !self.takes_moved(target, open) => Some(GiveUp::DestinationFull),
+            None => Some(GiveUpReason::DestinationGone),
+            Some(target) if !target.usable(now) => Some(GiveUpReason::DestinationUnfit),
+            Some(target) if !self.takes_moved(target, open) => Some(GiveUpReason::DestinationFull),
             Some(_) => None,
         };
         if let Some(reason) = reason {
@@ -437,7 +438,7 @@
         if vacated {
             job.put_back(open.task, now + KNOWN_SOON);
         }
-        let need = Room::of(&job.spec);
+        let need = Resources::of(&job.spec);
         if let Some(balancer) = &mut self.balance {
             balancer.adopt(now, open, part, need, vacated);
         }
--- a/crates/core/src/term.rs
+++ b/crates/core/src/term.rs
@@ -17,7 +17,7 @@
 use crate::fleet::stop_account::StopAccount;
 use crate::fleet::survey::state::Survey;
 use crate::jobs::*;
-use crate::quota::{Quotas, Room};
+use crate::quota::{Quotas, Resources};
 use crate::records::state::Records;
 use crate::rent::renting::Renting;
 use crate::speculate::statistics::Speculation;
@@ -277,7 +277,7 @@
 fn balancer(facts: &Facts, policy: &Policy) -> Option<Balancer> {
     let settings = policy.balance.clone()?;
     let teams = facts.teams.iter().map(|(name, team)| {
-        let guarantee = Room { cpus: team.cpus, gpus: team.gpus, memory_gb: 0.0 };
+        let guarantee = Resources { cpus: team.cpus, gpus: team.gpus, memory_gb: 0.0 };
         (Name::from(name.as_str()), guarantee)
     });
     Some(Balancer::new(settings, teams))
--- a/crates/core/src/users/submit.rs
+++ b/crates/core/src/users/submit.rs
@@ -16,7 +16,7 @@
 use crate::io::*;
 use crate::jobs::*;
 use crate::node::Node;
-use crate::quota::{Room, SLACK};
+use crate::quota::{Resources, SLACK};
 
 /// Dependencies looked for by one transaction, where the store takes so many conditions.
 const DEPENDENCIES_AT_ONCE: usize = 48;
@@ -189,13 +189,13 @@
 
 /// Whether the job can ever run; if not, why.
 fn can_run(env: &Env, spec: &JobSpec) -> Result<(), Refusal> {
-    let need = Room::of(spec);
+    let need = Resources::of(spec);
     let Some(team) = env.facts.teams.get(&spec.team) else {
         return Err(Refusal::UnknownTeam);
     };
     let fits = env.types.iter().any(|kind| {
-        let room = Room { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
-        room.holds(need)
+        let room = Resources { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
+        room.can_fit(need)
             && spec.types.as_ref().is_none_or(|types| types.contains(&kind.name))
             && spec.zone.as_ref().is_none_or(|zone| kind.zones.contains(zone))
     });
--- a/crates/core/tests/balance/bursts.rs
+++ b/crates/core/tests/balance/bursts.rs
@@ -168,7 +168,8 @@
 
 #[test]
 fn services_production_and_protected_classes_stay_however_crowded_they_are() {
-    let settings = BalanceSettings { protected: BTreeSet::from(["sheets".to_owned()]), ..BalanceSettings::default() };
+    let settings =
+        BalanceSettings { protected_classes: BTreeSet::from(["sheets".to_owned()]), ..BalanceSettings::default() };
     let mut world = World::deployed(deployment(), 4, Policy { balance: Some(settings), ..spreading() }, &ZONES);
     world.task_s = 300.0;
     world.boot = secs(2);
--- a/crates/core/tests/failover/evacuation.rs
+++ b/crates/core/tests/failover/evacuation.rs
@@ -175,7 +175,7 @@
 fn a_task_at_its_bound_waits_for_the_word_of_its_zone_or_a_confirmed_return() {
     let settings = FailoverSettings {
         max_reruns: BTreeMap::from([("settlement".to_owned(), 0)]),
-        keep_machines: secs(40),
+        machine_retention: secs(40),
         ..FailoverSettings::default()
     };
     for returns in [true, false] {
@@ -208,7 +208,7 @@
 fn counts_of_reruns_outlive_leaders() {
     let settings = FailoverSettings {
         max_reruns: BTreeMap::from([("settlement".to_owned(), 1)]),
-        keep_machines: secs(60),
+        machine_retention: secs(60),
         ..FailoverSettings::default()
     };
     let mut world = fleet(12, with(settings));
--- a/crates/core/tests/failover/returns.rs
+++ b/crates/core/tests/failover/returns.rs
@@ -195,7 +195,7 @@
 
 #[test]
 fn operators_hold_a_zone_out_and_let_one_in_at_once() {
-    let held_out = FailoverSettings { held_out: ["b".to_owned()].into(), ..FailoverSettings::default() };
+    let held_out = FailoverSettings { excluded_zones: ["b".to_owned()].into(), ..FailoverSettings::default() };
     let mut world = fleet(12, with(held_out));
     let there = machines_in(&world, "b");
     assert_eq!(world.submit(0, long(3, 128, Priority::Normal)), Some(201));
@@ -205,7 +205,7 @@
     ends_well(&mut world);
 
     let zones = ZONES.map(str::to_owned);
-    let admitted = FailoverSettings { admitted: zones.into(), ..FailoverSettings::default() };
+    let admitted = FailoverSettings { admitted_zones: zones.into(), ..FailoverSettings::default() };
     let mut world = at_work(12, with(admitted));
     let zone = zone_without_leader(&world);
     cut(&mut world, zone);
--- a/crates/failover/src/evidence.rs
+++ b/crates/failover/src/evidence.rs
@@ -12,27 +12,27 @@
     /// Machines that did not answer their last direct call, whatever they report.
     pub unreachable: usize,
     /// Machines that are overdue, unreachable, or answer calls while their reports do not come.
-    pub out: usize,
+    pub out_of_contact: usize,
     /// Machines that the cloud does not take back.
     pub ordinary: usize,
     /// Ordinary machines that are out.
-    pub ordinary_out: usize,
+    pub ordinary_out_of_contact: usize,
     /// Machines whose reports come in time and are answered.
     pub in_time: usize,
     /// Tasks placed on machines that are out.
-    pub tasks_out: usize,
+    pub tasks_out_of_contact: usize,
     /// CPUs of the machines that are not out.
     pub cpus: f64,
     /// CPUs of the largest machine.
-    pub largest_machine: f64,
+    pub largest_machine_cpus: f64,
 }
 
 impl ZoneView {
     /// Share of the machines that is out of reach, or of the ordinary ones if that is less: the cloud takes
     /// spot machines back in waves, which is no loss of their zone.
-    pub fn share_out(&self) -> f64 {
-        let of_all = share(self.out, self.machines);
-        if self.ordinary == 0 { of_all } else { of_all.min(share(self.ordinary_out, self.ordinary)) }
+    pub fn out_of_contact_share(&self) -> f64 {
+        let of_all = share(self.out_of_contact, self.machines);
+        if self.ordinary == 0 { of_all } else { of_all.min(share(self.ordinary_out_of_contact, self.ordinary)) }
     }
 }
 
@@ -47,17 +47,17 @@
     /// Zones by name; all that ever had a machine.
     pub zones: BTreeMap<String, ZoneView>,
     /// Zones of which most of a sample of machines did not answer.
-    pub sampled_cut: BTreeSet<String>,
+    pub sampled_partitioned: BTreeSet<String>,
     /// Zones from which another controller answers.
-    pub answering: BTreeSet<String>,
+    pub zones_with_controller: BTreeSet<String>,
     /// Other controllers, and how many of them answer.
-    pub controllers: usize,
+    pub other_controllers: usize,
     /// Controllers that answer.
-    pub controllers_answering: usize,
+    pub responding_controllers: usize,
     /// This controller gave way for that reason lately, and leads again: nobody else could.
-    pub gave_way: bool,
+    pub stepped_down: bool,
     /// Workers still look for this leader: missing reports show nothing yet.
-    pub settling: bool,
+    pub workers_reconnecting: bool,
 }
 
 /// Why a zone's state changed.
--- a/crates/failover/src/failover.rs
+++ b/crates/failover/src/failover.rs
@@ -5,10 +5,10 @@
 
 use crate::evidence::{FleetView, ZoneView};
 use crate::ramp::Ramp;
-use crate::record::{Drain, DrainedMachines, FailoverRecord};
+use crate::record::{DrainReasons, DrainedMachines, FailoverRecord};
 use crate::settings::Settings;
 use crate::state::ZoneState;
-use crate::zone::{Surroundings, Transition, Zone};
+use crate::zone::{Transition, Zone, ZoneContext};
 use crate::{Name, TaskKey};
 
 /// How long after a suspicion a zone gets no new work: by then it is lost, or it was a false alarm or a part
@@ -41,18 +41,18 @@
     /// cut off, and another should lead.
     pub minority: bool,
     /// The evacuation that has just ended.
-    pub evacuated: Option<Evacuation>,
+    pub finished_evacuation: Option<Evacuation>,
 }
 
 /// What became of one tier in an evacuation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TierCount {
     /// Tasks whose places were lost.
-    pub lost: u64,
+    pub displaced: u64,
     /// Tasks of these that have a new place.
     pub placed: u64,
     /// When the last of them got it, counted from the loss of the zone.
-    pub last_placed: Duration,
+    pub last_placed_after: Duration,
 }
 
 /// An evacuation: from the loss of a zone until its work has new places.
@@ -72,7 +72,7 @@
     evacuation: Option<Evacuation>,
     /// Tasks that lost their place with a zone and wait for another one, with their tiers.
     displaced: BTreeMap<TaskKey, usize>,
-    drained: BTreeMap<Name, Drain>,
+    drained: BTreeMap<Name, DrainReasons>,
     unwritten: bool,
 }
 
@@ -111,7 +111,7 @@
 
     /// Whether all zones take all work.
     pub fn all_open(&self) -> bool {
-        self.all_healthy() && self.settings.held_out.is_empty()
+        self.all_healthy() && self.settings.excluded_zones.is_empty()
     }
 
     /// Judges all zones by what is seen of them now. A fleet of one zone is not judged.
@@ -121,49 +121,49 @@
         if fleet.zones.len() < 2 || populated == 0 {
             return observation;
         }
-        let silent = |view: &&ZoneView| view.share_out() >= self.settings.suspect_share;
+        let silent = |view: &&ZoneView| view.out_of_contact_share() >= self.settings.suspect_share;
         let whole = fleet.zones.values().filter(|view| view.machines > 0).any(|view| !silent(&view));
         let all: usize = fleet.zones.values().map(|view| view.machines).sum();
-        let silent_machines: usize = fleet.zones.values().filter(silent).map(|view| view.out).sum();
-        let alone = fleet.controllers > 0 && fleet.controllers_answering == 0;
-        let minority = silent_machines * 2 > all && alone && !fleet.settling;
-        observation.minority = minority && !fleet.gave_way;
-        let may_judge = !fleet.settling && whole && !observation.minority;
+        let silent_machines: usize = fleet.zones.values().filter(silent).map(|view| view.out_of_contact).sum();
+        let alone = fleet.other_controllers > 0 && fleet.responding_controllers == 0;
+        let minority = silent_machines * 2 > all && alone && !fleet.workers_reconnecting;
+        observation.minority = minority && !fleet.stepped_down;
+        let can_judge = !fleet.workers_reconnecting && whole && !observation.minority;
         // A new leader may know a zone by the record only.
         let names: BTreeSet<&String> = fleet.zones.keys().chain(self.zones.keys()).collect();
         for name in names.into_iter().cloned().collect::<Vec<_>>() {
             let view = &fleet.zones.get(&name).copied().unwrap_or_default();
             let zone = self.zones.entry(name.clone()).or_insert_with(|| Zone::new(now));
-            zone.note_sign(now, view);
-            let around = Surroundings {
-                sampled_cut: fleet.sampled_cut.contains(&name),
-                controller_answers: fleet.answering.contains(&name),
-                may_judge,
+            zone.note_first_sign(now, view);
+            let around = ZoneContext {
+                sampled_partitioned: fleet.sampled_partitioned.contains(&name),
+                controller_responds: fleet.zones_with_controller.contains(&name),
+                can_judge,
             };
             if let Some((from, evidence, took)) = zone.observe(now, view, around, &self.settings) {
                 let (zone_name, to, episode) = (name.clone(), zone.state(), zone.episode());
                 observation.transitions.push(Transition { zone: zone_name, from, to, evidence, episode, took });
                 self.unwritten = true;
             }
-            if self.settings.admitted.contains(&name) {
-                zone.admit(now);
+            if self.settings.admitted_zones.contains(&name) {
+                zone.end_probation(now);
             }
         }
-        observation.evacuated = self.watch_evacuation(now, fleet);
+        observation.finished_evacuation = self.update_evacuation(now, fleet);
         observation
     }
 
     /// Begins an evacuation when a zone is lost, and ends it when nothing is left to be placed, or has
     /// been for too long: lower tiers must not wait for ever.
-    fn watch_evacuation(&mut self, now: Instant, fleet: &FleetView) -> Option<Evacuation> {
-        let limit = self.settings.evacuation;
+    fn update_evacuation(&mut self, now: Instant, fleet: &FleetView) -> Option<Evacuation> {
+        let limit = self.settings.max_evacuation;
         let fresh = |zone: &Zone| zone.lost_at().is_some_and(|at| now.saturating_duration_since(at) < limit);
         let unhealthy = |zone: &Zone| matches!(zone.state(), ZoneState::Lost | ZoneState::Returning);
         let lately: Vec<&String> =
             self.zones.iter().filter(|(_, zone)| unhealthy(zone) && fresh(zone)).map(|(name, _)| name).collect();
         let to_come = lately.iter().any(|name| {
             let lost = self.zones[*name].state() == ZoneState::Lost;
-            lost && fleet.zones.get(*name).is_some_and(|view| view.tasks_out > 0)
+            lost && fleet.zones.get(*name).is_some_and(|view| view.tasks_out_of_contact > 0)
         });
         let wanted = !lately.is_empty() && (to_come || !self.displaced.is_empty());
         match (wanted, &self.evacuation) {
@@ -181,7 +181,7 @@
     }
 
     /// Whether placement goes by tiers now.
-    pub fn evacuates(&self) -> bool {
+    pub fn is_evacuating(&self) -> bool {
         self.evacuation.is_some()
     }
 
@@ -190,7 +190,7 @@
         if self.displaced.insert(key.clone(), tier).is_none()
             && let Some(evacuation) = &mut self.evacuation
         {
-            evacuation.tiers[tier].lost += 1;
+            evacuation.tiers[tier].displaced += 1;
         }
     }
 
@@ -200,12 +200,12 @@
         if let Some(evacuation) = &mut self.evacuation {
             let count = &mut evacuation.tiers[tier];
             count.placed += 1;
-            count.last_placed = now.saturating_duration_since(evacuation.since);
+            count.last_placed_after = now.saturating_duration_since(evacuation.since);
         }
     }
 
     /// A job is over: its tasks wait for nothing.
-    pub fn job_over(&mut self, job: &Name) {
+    pub fn job_ended(&mut self, job: &Name) {
         if self.displaced.is_empty() {
             return;
         }
@@ -223,7 +223,7 @@
 
     /// Whether a zone takes new work.
     pub fn access(&self, now: Instant, zone: &str) -> Access {
-        if self.settings.held_out.contains(zone) {
+        if self.settings.excluded_zones.contains(zone) {
             return Access::Closed;
         }
         let Some(known) = self.zones.get(zone) else { return Access::Open };
@@ -243,9 +243,9 @@
     }
 
     /// Work of so many CPUs is placed in a zone.
-    pub fn take(&mut self, zone: &str, cpus: f64) {
+    pub fn charge_admission(&mut self, zone: &str, cpus: f64) {
         if let Some(ramp) = self.zones.get_mut(zone).and_then(Zone::ramp_mut) {
-            ramp.take(cpus);
+            ramp.consume(cpus);
         }
     }
 
@@ -266,12 +266,12 @@
     // Machines that were being drained when their zone was suspected.
 
     /// Why a machine was being drained.
-    pub fn drain_of(&self, machine: &Name) -> Drain {
+    pub fn recorded_drain(&self, machine: &Name) -> DrainReasons {
         self.drained.get(machine).copied().unwrap_or_default()
     }
 
     /// A machine of a zone that is not healthy was being drained.
-    pub fn keep_drain(&mut self, machine: &Name, drain: Drain) {
+    pub fn record_drain(&mut self, machine: &Name, drain: DrainReasons) {
         if drain.any() && self.drained.insert(machine.clone(), drain) != Some(drain) {
             self.unwritten = true;
         }
@@ -285,17 +285,17 @@
     // The durable form.
 
     /// Whether the record must be written.
-    pub fn is_unwritten(&self) -> bool {
+    pub fn has_unwritten_changes(&self) -> bool {
         self.unwritten
     }
 
     /// A write of the record failed, or is in doubt.
-    pub fn not_written(&mut self) {
+    pub fn mark_unwritten(&mut self) {
         self.unwritten = true;
     }
 
     /// The record, in so many bytes; from now on it counts as written.
-    pub fn record(&mut self, now: Instant, wall_ms: u64, most_bytes: usize) -> FailoverRecord {
+    pub fn to_record(&mut self, now: Instant, wall_ms: u64, most_bytes: usize) -> FailoverRecord {
         self.unwritten = false;
         let mut left = most_bytes;
         let mut fits = |bytes: usize| {
@@ -305,7 +305,7 @@
         };
         let mut record = FailoverRecord::default();
         for (name, zone) in &self.zones {
-            if let Some(zone) = zone.record(name, now, wall_ms, &self.settings)
+            if let Some(zone) = zone.to_record(name, now, wall_ms, &self.settings)
                 && fits(ZONE_BYTES + name.len())
             {
                 record.zones.push(zone);
@@ -317,7 +317,7 @@
 
     /// Machines that fail what they start come first, as far as there is room.
     fn drained_record(&self, mut fits: impl FnMut(usize) -> bool) -> DrainedMachines {
-        let mut named = |wanted: fn(&Drain) -> bool| {
+        let mut named = |wanted: fn(&DrainReasons) -> bool| {
             let machines = self.drained.iter().filter(|(_, drain)| wanted(drain)).map(|(name, _)| name.to_string());
             machines.filter(|name| fits(name.len() + MACHINE_BYTES)).collect()
         };
@@ -331,14 +331,14 @@
     /// Takes over what an earlier leader left.
     pub fn adopt(&mut self, record: &FailoverRecord, now: Instant, wall_ms: u64) {
         for zone in &record.zones {
-            self.zones.insert(zone.zone.clone(), Zone::adopted(zone, now, wall_ms, &self.settings));
+            self.zones.insert(zone.zone.clone(), Zone::from_record(zone, now, wall_ms, &self.settings));
         }
         self.adopt_drained(&record.drained.quarantined, |drain| drain.quarantined = true);
         self.adopt_drained(&record.drained.straggling, |drain| drain.straggling = true);
         self.adopt_drained(&record.drained.retiring, |drain| drain.retiring = true);
     }
 
-    fn adopt_drained(&mut self, machines: &[String], mark: fn(&mut Drain)) {
+    fn adopt_drained(&mut self, machines: &[String], mark: fn(&mut DrainReasons)) {
         for name in machines {
             mark(self.drained.entry(Name::from(name.as_str())).or_default());
         }
--- a/crates/failover/src/ramp.rs
+++ b/crates/failover/src/ramp.rs
@@ -49,7 +49,7 @@
     }
 
     /// CPUs were given work.
-    pub fn take(&mut self, cpus: f64) {
+    pub fn consume(&mut self, cpus: f64) {
         self.tokens -= cpus;
     }
 
@@ -64,14 +64,14 @@
     }
 
     /// Lets time pass in a zone of so many CPUs; `whole` if nearly all of its machines report in time.
-    pub fn tick(&mut self, now: Instant, cpus: f64, largest_machine: f64, whole: bool) {
+    pub fn tick(&mut self, now: Instant, cpus: f64, largest_machine_cpus: f64, whole: bool) {
         if self.is_open() {
             return;
         }
         let since = now.saturating_duration_since(self.filled).as_secs_f64();
         self.filled = now;
         // Room for one task of any size, or it would never be admitted.
-        let most = (self.rate * cpus * SAVED_S).max(largest_machine);
+        let most = (self.rate * cpus * SAVED_S).max(largest_machine_cpus);
         self.tokens = (self.tokens + self.rate * cpus * since).min(most);
         if now.saturating_duration_since(self.stepped) >= self.step {
             self.take_step(now, whole);
--- a/crates/failover/src/record.rs
+++ b/crates/failover/src/record.rs
@@ -56,7 +56,7 @@
 
 /// Why a machine is being drained.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Drain {
+pub struct DrainReasons {
     /// More than enough is there.
     pub retiring: bool,
     /// It fails the tasks that it starts.
@@ -65,7 +65,7 @@
     pub straggling: bool,
 }
 
-impl Drain {
+impl DrainReasons {
     /// Whether there is any reason.
     pub fn any(self) -> bool {
         self.retiring || self.quarantined || self.straggling
--- a/crates/failover/src/settings.rs
+++ b/crates/failover/src/settings.rs
@@ -19,59 +19,59 @@
     /// priority and guarantee.
     pub tiers: Vec<Tier>,
     /// Tiers whose work keeps off a zone on probation while there is room elsewhere, by name.
-    pub careful_tiers: BTreeSet<String>,
+    pub tiers_avoiding_probation: BTreeSet<String>,
     /// Machines that must be silent for a zone to be suspected.
-    pub least_machines: usize,
+    pub min_machines: usize,
     /// Share of a zone's machines that must be out of reach for the zone to be suspected.
     pub suspect_share: f64,
     /// Share of a zone's machines that must be out of reach for the zone to be lost.
     pub lost_share: f64,
     /// For how long they must be out of reach, with calls that failed, before the zone is lost.
-    pub confirm: Duration,
+    pub lost_confirmation: Duration,
     /// Share of a lost zone's machines that must report in time for the zone to be returning.
     pub return_share: f64,
     /// How long a zone that has returned is on probation.
     pub probation: Duration,
     /// The longest probation of a zone that is lost again and again.
-    pub longest_probation: Duration,
+    pub max_probation: Duration,
     /// Time in which the penalty for a loss halves.
-    pub half_life: Duration,
+    pub penalty_half_life: Duration,
     /// Share of a returned zone's CPUs that may be given work each second at first.
     pub ramp_share: f64,
     /// After so long without trouble that share doubles.
     pub ramp_step: Duration,
     /// How long the silent machines of a lost zone are kept beyond their leases.
-    pub keep_machines: Duration,
+    pub machine_retention: Duration,
     /// How long after its loss a zone's evacuation orders placement by tiers at the most.
-    pub evacuation: Duration,
+    pub max_evacuation: Duration,
     /// How often a task of a class may begin anew because of zones; without an entry, as often as needed.
     pub max_reruns: BTreeMap<String, u32>,
     /// Zones that get no new work, whatever they show.
-    pub held_out: BTreeSet<String>,
+    pub excluded_zones: BTreeSet<String>,
     /// Zones that are let in at once when they return.
-    pub admitted: BTreeSet<String>,
+    pub admitted_zones: BTreeSet<String>,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
             tiers: Vec::new(),
-            careful_tiers: BTreeSet::new(),
-            least_machines: 3,
+            tiers_avoiding_probation: BTreeSet::new(),
+            min_machines: 3,
             suspect_share: 0.5,
             lost_share: 0.8,
-            confirm: Duration::from_millis(500),
+            lost_confirmation: Duration::from_millis(500),
             return_share: 0.5,
             probation: Duration::from_secs(120),
-            longest_probation: Duration::from_secs(600),
-            half_life: Duration::from_secs(150),
+            max_probation: Duration::from_secs(600),
+            penalty_half_life: Duration::from_secs(150),
             ramp_share: 0.1,
             ramp_step: Duration::from_secs(1),
-            keep_machines: Duration::from_secs(20),
-            evacuation: Duration::from_secs(60),
+            machine_retention: Duration::from_secs(20),
+            max_evacuation: Duration::from_secs(60),
             max_reruns: BTreeMap::new(),
-            held_out: BTreeSet::new(),
-            admitted: BTreeSet::new(),
+            excluded_zones: BTreeSet::new(),
+            admitted_zones: BTreeSet::new(),
         }
     }
 }
@@ -104,7 +104,7 @@
     },
     /// A name that stands twice.
     #[error("failover.{setting}: {what} {name} stands twice")]
-    Doubled {
+    Duplicate {
         /// The setting's name.
         setting: &'static str,
         /// What is named.
@@ -124,13 +124,13 @@
     },
     /// The share for a verdict is below the share for a suspicion.
     #[error("failover.lost_share: must not be below suspect_share")]
-    LostBelowSuspect,
+    LostShareBelowSuspectShare,
     /// The longest probation is shorter than the first.
     #[error("failover.longest_probation_s: must not be below probation_s")]
-    LongestBelowFirst,
+    MaxProbationBelowProbation,
     /// A zone is to be held out and let in.
     #[error("failover.admitted: zone {0} is held out too")]
-    HeldOutAndAdmitted(String),
+    ExcludedAndAdmitted(String),
 }
 
 impl Settings {
@@ -138,9 +138,9 @@
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_numbers()?;
         self.check_tiers()?;
-        for zone in &self.admitted {
-            if self.held_out.contains(zone) {
-                return Err(SettingsError::HeldOutAndAdmitted(zone.clone()));
+        for zone in &self.admitted_zones {
+            if self.excluded_zones.contains(zone) {
+                return Err(SettingsError::ExcludedAndAdmitted(zone.clone()));
             }
         }
         Ok(())
@@ -148,7 +148,7 @@
 
     fn check_numbers(&self) -> Result<(), SettingsError> {
         let shares = [
-            ("least_machines", self.least_machines as f64, 1.0, 1000.0),
+            ("least_machines", self.min_machines as f64, 1.0, 1000.0),
             ("suspect_share", self.suspect_share, 0.1, 1.0),
             ("lost_share", self.lost_share, 0.1, 1.0),
             ("return_share", self.return_share, 0.1, 1.0),
@@ -158,22 +158,22 @@
             in_range(setting, value, low, high, "")?;
         }
         let times = [
-            ("confirm_s", self.confirm, 0.0, 60.0),
+            ("confirm_s", self.lost_confirmation, 0.0, 60.0),
             ("probation_s", self.probation, 1.0, 3600.0),
-            ("longest_probation_s", self.longest_probation, 1.0, 86_400.0),
-            ("half_life_s", self.half_life, 1.0, 86_400.0),
+            ("longest_probation_s", self.max_probation, 1.0, 86_400.0),
+            ("half_life_s", self.penalty_half_life, 1.0, 86_400.0),
             ("ramp_step_s", self.ramp_step, 0.1, 60.0),
-            ("keep_machines_s", self.keep_machines, 0.0, 600.0),
-            ("evacuation_s", self.evacuation, 1.0, LONGEST_EVACUATION_S),
+            ("keep_machines_s", self.machine_retention, 0.0, 600.0),
+            ("evacuation_s", self.max_evacuation, 1.0, LONGEST_EVACUATION_S),
         ];
         for (setting, value, low, high) in times {
             in_range(setting, value.as_secs_f64(), low, high, " seconds")?;
         }
         if self.lost_share < self.suspect_share {
-            return Err(SettingsError::LostBelowSuspect);
+            return Err(SettingsError::LostShareBelowSuspectShare);
         }
-        if self.longest_probation < self.probation {
-            return Err(SettingsError::LongestBelowFirst);
+        if self.max_probation < self.probation {
+            return Err(SettingsError::MaxProbationBelowProbation);
         }
         Ok(())
     }
@@ -190,7 +190,7 @@
                 named_once("tiers", "class", class, &mut classes)?;
             }
         }
-        known("careful_tiers", "tier", &self.careful_tiers, &names)
+        known("careful_tiers", "tier", &self.tiers_avoiding_probation, &names)
     }
 
     /// Checks names against the classes and the zones that the platform knows; of what it does not tell
@@ -202,8 +202,8 @@
             known("max_reruns", "class", self.max_reruns.keys(), classes)?;
         }
         if !zones.is_empty() {
-            known("held_out", "zone", &self.held_out, zones)?;
-            known("admitted", "zone", &self.admitted, zones)?;
+            known("held_out", "zone", &self.excluded_zones, zones)?;
+            known("admitted", "zone", &self.admitted_zones, zones)?;
         }
         Ok(())
     }
@@ -224,7 +224,7 @@
         return Err(SettingsError::Empty { setting, what });
     }
     if !names.insert(name.to_owned()) {
-        return Err(SettingsError::Doubled { setting, what, name: name.to_owned() });
+        return Err(SettingsError::Duplicate { setting, what, name: name.to_owned() });
     }
     Ok(())
 }
--- a/crates/failover/src/tiers.rs
+++ b/crates/failover/src/tiers.rs
@@ -52,10 +52,10 @@
     }
 
     /// Whether work of a tier keeps off a zone on probation: as operators say, or the first tier.
-    pub fn is_careful(&self, tier: usize) -> bool {
-        if self.careful_tiers.is_empty() {
+    pub fn avoids_probation(&self, tier: usize) -> bool {
+        if self.tiers_avoiding_probation.is_empty() {
             return tier == 0;
         }
-        self.tiers.get(tier).is_some_and(|named| self.careful_tiers.contains(&named.name))
+        self.tiers.get(tier).is_some_and(|named| self.tiers_avoiding_probation.contains(&named.name))
     }
 }
--- a/crates/failover/src/zone.rs
+++ b/crates/failover/src/zone.rs
@@ -45,13 +45,13 @@
 
 /// What is known beside the zone's own machines.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Surroundings {
+pub(crate) struct ZoneContext {
     /// Most of a sample of its machines did not answer.
-    pub sampled_cut: bool,
+    pub sampled_partitioned: bool,
     /// A controller in the zone answers.
-    pub controller_answers: bool,
+    pub controller_responds: bool,
     /// What is out of reach may be judged: it is not this node that is.
-    pub may_judge: bool,
+    pub can_judge: bool,
 }
 
 /// A zone.
@@ -111,7 +111,7 @@
 
     /// By how much the flap penalty lengthens probation and slows the ramp now.
     pub fn flap_factor(&self, now: Instant, settings: &Settings) -> f64 {
-        self.penalty.factor(now, settings.half_life)
+        self.penalty.factor(now, settings.penalty_half_life)
     }
 
     pub(crate) fn ramp_mut(&mut self) -> Option<&mut Ramp> {
@@ -120,13 +120,13 @@
 
     /// How long its probation is now.
     pub fn probation(&self, settings: &Settings) -> Duration {
-        let factor = self.penalty.factor(self.lost_at.unwrap_or(self.since), settings.half_life);
-        settings.probation.mul_f64(factor).min(settings.longest_probation)
+        let factor = self.penalty.factor(self.lost_at.unwrap_or(self.since), settings.penalty_half_life);
+        settings.probation.mul_f64(factor).min(settings.max_probation)
     }
 
     /// The flap penalty now.
     pub fn penalty(&self, now: Instant, settings: &Settings) -> f64 {
-        self.penalty.value(now, settings.half_life)
+        self.penalty.value(now, settings.penalty_half_life)
     }
 
     /// Judges the zone by what is seen of it now.
@@ -134,12 +134,12 @@
         &mut self,
         now: Instant,
         view: &ZoneView,
-        around: Surroundings,
+        around: ZoneContext,
         settings: &Settings,
     ) -> Option<(ZoneState, Evidence, Duration)> {
         if let Some(ramp) = &mut self.ramp {
             let whole = view.in_time as f64 >= view.machines as f64 * NEARLY_ALL;
-            ramp.tick(now, view.cpus, view.largest_machine, whole);
+            ramp.tick(now, view.cpus, view.largest_machine_cpus, whole);
         }
         let next = match self.state {
             ZoneState::Healthy => suspicion(view, around, settings).map(|evidence| (ZoneState::Suspect, evidence)),
@@ -158,22 +158,22 @@
         &mut self,
         now: Instant,
         view: &ZoneView,
-        around: Surroundings,
+        around: ZoneContext,
         settings: &Settings,
     ) -> Option<(ZoneState, Evidence)> {
-        let ZoneView { machines: of, out, unreachable: failed, .. } = *view;
-        if view.share_out() < settings.suspect_share / HYSTERESIS && !around.sampled_cut {
+        let ZoneView { machines: of, out_of_contact: out, unreachable: failed, .. } = *view;
+        if view.out_of_contact_share() < settings.suspect_share / HYSTERESIS && !around.sampled_partitioned {
             return Some((ZoneState::Healthy, Evidence::MachinesBack { out, of }));
         }
         // Reports that are late alone may be a slow network: calls must have failed too.
         let called = failed >= out.div_ceil(2).min(ENOUGH_CALLS);
-        let beyond_reach = out >= settings.least_machines && view.share_out() >= settings.lost_share;
-        if !(called && beyond_reach && around.may_judge) {
+        let beyond_reach = out >= settings.min_machines && view.out_of_contact_share() >= settings.lost_share;
+        if !(called && beyond_reach && around.can_judge) {
             self.out_since = None;
             return None;
         }
         let since = *self.out_since.get_or_insert(now);
-        let confirmed = now.saturating_duration_since(since) >= settings.confirm;
+        let confirmed = now.saturating_duration_since(since) >= settings.lost_confirmation;
         confirmed.then_some((ZoneState::Lost, Evidence::CallsFailed { failed, out }))
     }
 
@@ -181,7 +181,7 @@
         &mut self,
         now: Instant,
         view: &ZoneView,
-        around: Surroundings,
+        around: ZoneContext,
         settings: &Settings,
     ) -> Option<(ZoneState, Evidence)> {
         let ZoneView { machines: of, in_time, .. } = *view;
@@ -192,7 +192,7 @@
         } else {
             let empty_since = *self.sign_since.get_or_insert(now);
             let waited = now.saturating_duration_since(empty_since) >= self.probation(settings);
-            if around.controller_answers {
+            if around.controller_responds {
                 Some(Evidence::ControllerAnswers)
             } else {
                 waited.then_some(Evidence::NoMachines)
@@ -205,26 +205,26 @@
         &mut self,
         now: Instant,
         view: &ZoneView,
-        around: Surroundings,
+        around: ZoneContext,
         settings: &Settings,
     ) -> Option<(ZoneState, Evidence)> {
-        let ZoneView { machines: of, out, in_time, .. } = *view;
-        let gone = out >= settings.least_machines && view.share_out() >= settings.suspect_share;
-        if gone && share(in_time, of) < settings.return_share / HYSTERESIS && around.may_judge {
+        let ZoneView { machines: of, out_of_contact: out, in_time, .. } = *view;
+        let gone = out >= settings.min_machines && view.out_of_contact_share() >= settings.suspect_share;
+        if gone && share(in_time, of) < settings.return_share / HYSTERESIS && around.can_judge {
             return Some((ZoneState::Lost, Evidence::MachinesOut { out, of }));
         }
         let passed = now.saturating_duration_since(self.since) >= self.probation(settings);
         let open = self.ramp.as_ref().is_none_or(Ramp::is_open);
-        let whole = view.share_out() < settings.suspect_share / HYSTERESIS;
+        let whole = view.out_of_contact_share() < settings.suspect_share / HYSTERESIS;
         (passed && open && whole).then_some((ZoneState::Healthy, Evidence::ProbationPassed))
     }
 
     /// Notes the first sign of what is not judged yet, so that the time that a verdict takes is known.
-    pub(crate) fn note_sign(&mut self, now: Instant, view: &ZoneView) {
+    pub(crate) fn note_first_sign(&mut self, now: Instant, view: &ZoneView) {
         if self.state != ZoneState::Healthy {
             return;
         }
-        self.sign_since = if view.out > 0 { self.sign_since.or(Some(now)) } else { None };
+        self.sign_since = if view.out_of_contact > 0 { self.sign_since.or(Some(now)) } else { None };
     }
 
     fn enter(&mut self, now: Instant, state: ZoneState, settings: &Settings) {
@@ -232,7 +232,7 @@
         if state == ZoneState::Lost {
             // A relapse is part of the same evacuation.
             self.episode += u64::from(!relapse);
-            self.penalty.add_loss(now, settings.half_life);
+            self.penalty.add_loss(now, settings.penalty_half_life);
             self.lost_at = Some(now);
         }
         if state != ZoneState::Suspect {
@@ -249,14 +249,14 @@
     }
 
     /// Ends probation at once, as operators wish.
-    pub(crate) fn admit(&mut self, now: Instant) {
+    pub(crate) fn end_probation(&mut self, now: Instant) {
         if self.state == ZoneState::Returning {
             (self.state, self.since, self.ramp) = (ZoneState::Healthy, now, None);
         }
     }
 
     /// Its durable form, if there is something to keep.
-    pub(crate) fn record(&self, zone: &str, now: Instant, wall_ms: u64, settings: &Settings) -> Option<ZoneRecord> {
+    pub(crate) fn to_record(&self, zone: &str, now: Instant, wall_ms: u64, settings: &Settings) -> Option<ZoneRecord> {
         let penalty_left = self.penalty(now, settings);
         if self.state == ZoneState::Healthy && penalty_left < FORGOTTEN {
             return None;
@@ -269,12 +269,12 @@
             since_ms: ms_at(self.since),
             episode: self.episode,
             lost_ms: ms_at(lost_at),
-            penalty: self.penalty.value(lost_at, settings.half_life),
+            penalty: self.penalty.value(lost_at, settings.penalty_half_life),
         })
     }
 
     /// A zone as an earlier leader left it. Clocks differ: what lies in the future is now.
-    pub(crate) fn adopted(record: &ZoneRecord, now: Instant, wall_ms: u64, settings: &Settings) -> Zone {
+    pub(crate) fn from_record(record: &ZoneRecord, now: Instant, wall_ms: u64, settings: &Settings) -> Zone {
         let at = |ms: u64| now.checked_sub(Duration::from_millis(wall_ms.saturating_sub(ms))).unwrap_or(now);
         let lost_at = at(record.lost_ms);
         let mut zone = Zone {
@@ -291,13 +291,13 @@
     }
 }
 
-fn suspicion(view: &ZoneView, around: Surroundings, settings: &Settings) -> Option<Evidence> {
-    let ZoneView { machines: of, out, .. } = *view;
-    if !around.may_judge {
+fn suspicion(view: &ZoneView, around: ZoneContext, settings: &Settings) -> Option<Evidence> {
+    let ZoneView { machines: of, out_of_contact: out, .. } = *view;
+    if !around.can_judge {
         return None;
     }
-    if out >= settings.least_machines && view.share_out() >= settings.suspect_share {
+    if out >= settings.min_machines && view.out_of_contact_share() >= settings.suspect_share {
         return Some(Evidence::MachinesOut { out, of });
     }
-    around.sampled_cut.then_some(Evidence::SampleFailed)
+    around.sampled_partitioned.then_some(Evidence::SampleFailed)
 }
--- a/crates/failover/tests/zones.rs
+++ b/crates/failover/tests/zones.rs
@@ -4,8 +4,8 @@
 use std::time::{Duration, Instant};
 
 use rushyoke_failover::{
-    Access, Drain, Evidence, Failover, FailoverRecord, FleetView, Name, Observation, Penalty, Ramp, Settings, Silent,
-    SurveySample, TierQuery, ZoneState, ZoneView,
+    Access, DrainReasons, Evidence, Failover, FailoverRecord, FleetView, MachineCounts, Name, Observation, Penalty,
+    Ramp, Settings, SurveySample, TierQuery, ZoneState, ZoneView,
 };
 use rushyoke_wire::job::Priority;
 
@@ -22,14 +22,15 @@
 fn view(out: usize, failed: usize) -> ZoneView {
     let (machines, cpus) = (10, 16.0 * (10 - out) as f64);
     let in_time = machines - out;
-    let zone = ZoneView { machines, overdue: out, unreachable: failed, out, in_time, ..ZoneView::default() };
-    ZoneView { tasks_out: out, cpus, largest_machine: 16.0, ..zone }
+    let zone =
+        ZoneView { machines, overdue: out, unreachable: failed, out_of_contact: out, in_time, ..ZoneView::default() };
+    ZoneView { tasks_out_of_contact: out, cpus, largest_machine_cpus: 16.0, ..zone }
 }
 
 impl Story {
     fn new() -> Story {
         let zones: BTreeMap<String, ZoneView> = ["a", "b", "c"].map(|zone| (zone.to_owned(), view(0, 0))).into();
-        let fleet = FleetView { zones, controllers: 2, controllers_answering: 2, ..FleetView::default() };
+        let fleet = FleetView { zones, other_controllers: 2, responding_controllers: 2, ..FleetView::default() };
         Story { start: Instant::now(), at: Duration::ZERO, failover: Failover::new(Settings::default()), fleet }
     }
 
@@ -49,7 +50,7 @@
             let seen = self.failover.observe(self.now(), &self.fleet);
             all.transitions.extend(seen.transitions);
             all.minority = seen.minority;
-            all.evacuated = all.evacuated.or(seen.evacuated);
+            all.finished_evacuation = all.finished_evacuation.or(seen.finished_evacuation);
         }
         all
     }
@@ -96,10 +97,10 @@
 #[test]
 fn a_wave_that_takes_a_zones_spot_machines_is_no_loss_of_the_zone() {
     let mut story = Story::new();
-    story.fleet.zones.insert("b".into(), ZoneView { ordinary: 2, ordinary_out: 0, ..view(8, 8) });
+    story.fleet.zones.insert("b".into(), ZoneView { ordinary: 2, ordinary_out_of_contact: 0, ..view(8, 8) });
     story.pass(6000);
     assert_eq!(story.state("b"), ZoneState::Healthy);
-    story.fleet.zones.insert("b".into(), ZoneView { ordinary: 2, ordinary_out: 2, ..view(10, 10) });
+    story.fleet.zones.insert("b".into(), ZoneView { ordinary: 2, ordinary_out_of_contact: 2, ..view(10, 10) });
     story.pass(2100);
     assert_eq!(story.state("b"), ZoneState::Lost);
 }
@@ -107,15 +108,15 @@
 #[test]
 fn a_node_that_seems_cut_off_judges_nothing_and_gives_way_once() {
     let mut story = Story::new();
-    (story.fleet.controllers_answering, story.fleet.settling) = (0, true);
+    (story.fleet.responding_controllers, story.fleet.workers_reconnecting) = (0, true);
     story.set("a", 10, 10);
     story.set("b", 10, 10);
     assert!(!story.pass(900).minority, "workers still look for it");
-    story.fleet.settling = false;
+    story.fleet.workers_reconnecting = false;
     assert!(story.pass(3000).minority);
     assert_eq!((story.state("a"), story.state("b")), (ZoneState::Healthy, ZoneState::Healthy));
     // No other could lead: the others are cut off.
-    story.fleet.gave_way = true;
+    story.fleet.stepped_down = true;
     assert!(!story.pass(3000).minority);
     assert_eq!((story.state("a"), story.state("b")), (ZoneState::Lost, ZoneState::Lost));
 }
@@ -148,7 +149,7 @@
         story.lose("b");
         story.fleet.zones.insert("b".into(), ZoneView::default());
         if answers {
-            story.fleet.answering.insert("b".into());
+            story.fleet.zones_with_controller.insert("b".into());
         }
         story.pass(3000);
         assert_eq!(story.state("b") == ZoneState::Returning, answers);
@@ -163,11 +164,13 @@
     story.lose("b");
     let name = |n: usize| Name::from(format!("n-{n:06}"));
     for n in 0..1000 {
-        story.failover.keep_drain(&name(n), Drain { retiring: n != 7, quarantined: n == 7, straggling: false });
+        story
+            .failover
+            .record_drain(&name(n), DrainReasons { retiring: n != 7, quarantined: n == 7, straggling: false });
     }
-    assert!(story.failover.is_unwritten());
-    let record = story.failover.record(story.now(), WALL_MS, 2048);
-    assert!(!story.failover.is_unwritten());
+    assert!(story.failover.has_unwritten_changes());
+    let record = story.failover.to_record(story.now(), WALL_MS, 2048);
+    assert!(!story.failover.has_unwritten_changes());
     let text = serde_json::to_string(&record).expect("it encodes");
     assert!(text.len() <= 2048 && record.drained.retiring.len() > 50, "{} bytes", text.len());
     let read: FailoverRecord = serde_json::from_str(&text).expect("it decodes");
@@ -177,7 +180,7 @@
     let zone = next.zone("b").expect("adopted");
     assert_eq!((zone.state(), zone.episode()), (ZoneState::Lost, 1));
     assert!((zone.penalty(now, next.settings()) - 0.5).abs() < 0.01, "half of it after a half-life");
-    assert!(next.drain_of(&name(7)).quarantined, "those that fail what they start come first");
+    assert!(next.recorded_drain(&name(7)).quarantined, "those that fail what they start come first");
 }
 
 #[test]
@@ -186,16 +189,16 @@
         let mut story = Story::new();
         story.lose("b");
         let key = (Name::from("wk-000001"), 3);
-        assert!(story.failover.evacuates());
+        assert!(story.failover.is_evacuating());
         story.failover.task_displaced(&key, 1);
-        story.fleet.zones.insert("b".into(), ZoneView { tasks_out: 0, ..view(10, 10) });
-        assert!(story.pass(30_000).evacuated.is_none() && story.failover.evacuates());
+        story.fleet.zones.insert("b".into(), ZoneView { tasks_out_of_contact: 0, ..view(10, 10) });
+        assert!(story.pass(30_000).finished_evacuation.is_none() && story.failover.is_evacuating());
         if placed {
             story.failover.task_placed(story.now(), &key);
         }
-        let ended = story.pass(if placed { 300 } else { 31_000 }).evacuated.expect("it is over");
-        assert_eq!((ended.tiers[1].lost, ended.tiers[1].placed), (1, u64::from(placed)));
-        assert!(!story.failover.evacuates());
+        let ended = story.pass(if placed { 300 } else { 31_000 }).finished_evacuation.expect("it is over");
+        assert_eq!((ended.tiers[1].displaced, ended.tiers[1].placed), (1, u64::from(placed)));
+        assert!(!story.failover.is_evacuating());
     }
 }
 
@@ -207,9 +210,9 @@
     assert!(!ramp.admits(1.0));
     ramp.tick(second(1), 160.0, 16.0, true);
     assert!(ramp.admits(16.0) && !ramp.admits(17.0));
-    ramp.take(16.0);
+    ramp.consume(16.0);
     ramp.tick(second(2), 160.0, 16.0, false);
-    ramp.take(32.0);
+    ramp.consume(32.0);
     ramp.start_lost();
     ramp.tick(second(3), 160.0, 16.0, true);
     assert!(ramp.admits(16.0) && !ramp.admits(33.0), "it did not slow down");
@@ -230,11 +233,14 @@
     let mut sample = SurveySample::default();
     for n in 0..30 {
         let zone = ["a", "b", "c"][n % 3];
-        sample.note(zone, n % 2 == 0, zone == "b", zone == "b");
+        sample.add_result(zone, n % 2 == 0, zone == "b", zone == "b");
     }
-    assert_eq!(sample.cut_zones().into_iter().collect::<Vec<_>>(), ["b"]);
-    assert_eq!(sample.silent_of(Silent { all: 300, ordinary: 150 }), Silent { all: 100, ordinary: 50 });
-    assert!(!sample.most_are_mute());
+    assert_eq!(sample.partitioned_zones().into_iter().collect::<Vec<_>>(), ["b"]);
+    assert_eq!(
+        sample.estimate_unresponsive(MachineCounts { all: 300, ordinary: 150 }),
+        MachineCounts { all: 100, ordinary: 50 }
+    );
+    assert!(!sample.most_calls_failed());
 }
 
 #[test]
--- a/crates/rushyoke/src/settings/balance.rs
+++ b/crates/rushyoke/src/settings/balance.rs
@@ -35,29 +35,29 @@
     pub(super) fn into_settings(self) -> Result<Option<BalanceSettings>, String> {
         let mut settings = BalanceSettings::default();
         let shares = [
-            (self.crowding_share, &mut settings.crowding_share),
+            (self.crowding_share, &mut settings.contention_slowdown),
             (self.gain_ratio, &mut settings.gain_ratio),
-            (self.use_gap, &mut settings.use_gap),
+            (self.use_gap, &mut settings.utilization_gap),
             (self.moves_per_machine, &mut settings.moves_per_machine),
             (self.free_share, &mut settings.free_share),
-            (self.free_share_long, &mut settings.free_share_long),
+            (self.free_share_long, &mut settings.free_share_long_runs),
         ];
         for (value, target) in shares {
             *target = value.unwrap_or(*target);
         }
         let times = [
             ("service_horizon_s", self.service_horizon_s, &mut settings.service_horizon),
-            ("least_gain_s", self.least_gain_s, &mut settings.least_gain),
+            ("least_gain_s", self.least_gain_s, &mut settings.min_gain),
             ("cooldown_s", self.cooldown_s, &mut settings.cooldown),
-            ("booking_s", self.booking_s, &mut settings.booking),
-            ("fresh_s", self.fresh_s, &mut settings.fresh),
-            ("hold_s", self.hold_s, &mut settings.hold),
-            ("borrow_s", self.borrow_s, &mut settings.borrow),
+            ("booking_s", self.booking_s, &mut settings.booking_timeout),
+            ("fresh_s", self.fresh_s, &mut settings.max_age_without_checkpoint),
+            ("hold_s", self.hold_s, &mut settings.max_hold),
+            ("borrow_s", self.borrow_s, &mut settings.short_run),
         ];
         for (name, value, target) in times {
             *target = value.map_or(Ok(*target), |value| seconds(name, value))?;
         }
-        settings.protected = protected(self.protected)?;
+        settings.protected_classes = protected(self.protected)?;
         settings.check().map_err(|error| error.to_string())?;
         Ok(self.enabled.then_some(settings))
     }
--- a/crates/rushyoke/src/settings/failover.rs
+++ b/crates/rushyoke/src/settings/failover.rs
@@ -51,7 +51,7 @@
 
     fn read(self) -> Result<FailoverSettings, String> {
         let mut settings = FailoverSettings::default();
-        settings.least_machines = self.least_machines.unwrap_or(settings.least_machines);
+        settings.min_machines = self.least_machines.unwrap_or(settings.min_machines);
         let shares = [
             (self.suspect_share, &mut settings.suspect_share),
             (self.lost_share, &mut settings.lost_share),
@@ -62,13 +62,13 @@
             *target = value.unwrap_or(*target);
         }
         let times = [
-            ("confirm_s", self.confirm_s, &mut settings.confirm),
+            ("confirm_s", self.confirm_s, &mut settings.lost_confirmation),
             ("probation_s", self.probation_s, &mut settings.probation),
-            ("longest_probation_s", self.longest_probation_s, &mut settings.longest_probation),
-            ("half_life_s", self.half_life_s, &mut settings.half_life),
+            ("longest_probation_s", self.longest_probation_s, &mut settings.max_probation),
+            ("half_life_s", self.half_life_s, &mut settings.penalty_half_life),
             ("ramp_step_s", self.ramp_step_s, &mut settings.ramp_step),
-            ("keep_machines_s", self.keep_machines_s, &mut settings.keep_machines),
-            ("evacuation_s", self.evacuation_s, &mut settings.evacuation),
+            ("keep_machines_s", self.keep_machines_s, &mut settings.machine_retention),
+            ("evacuation_s", self.evacuation_s, &mut settings.max_evacuation),
         ];
         for (name, value, target) in times {
             *target = value.map_or(Ok(*target), |value| seconds(name, value))?;
@@ -78,9 +78,9 @@
         let names = |setting, what, listed: &[String]| {
             FailoverSettings::names(setting, what, listed).map_err(|error| error.to_string())
         };
-        settings.careful_tiers = names("careful_tiers", "tier", &self.careful_tiers)?;
-        settings.held_out = names("held_out", "zone", &self.held_out)?;
-        settings.admitted = names("admitted", "zone", &self.admitted)?;
+        settings.tiers_avoiding_probation = names("careful_tiers", "tier", &self.careful_tiers)?;
+        settings.excluded_zones = names("held_out", "zone", &self.held_out)?;
+        settings.admitted_zones = names("admitted", "zone", &self.admitted)?;
         Ok(settings)
     }
 }
