--- a/crates/core/src/fleet/liveness.rs
+++ b/crates/core/src/fleet/liveness.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use rushyoke_failover::{Silent, ZoneView};
+use rushyoke_failover::{MachineCounts, ZoneView};
 
 use super::direct_calls::CallReason;
 use super::lease::LeaseBounds;
@@ -47,8 +47,8 @@
     leases_expired: Vec<Name>,
     reports_missing: Vec<Name>,
     unresponsive: Vec<Name>,
-    total: Silent,
-    overdue_or_unreached: Silent,
+    total: MachineCounts,
+    overdue_or_unreached: MachineCounts,
     /// What is seen of each zone, if zones are judged.
     zones: BTreeMap<String, ZoneView>,
 }
@@ -101,7 +101,7 @@
         let mut findings = Findings::default();
         for machine in self.machines.values_mut().filter(|m| m.up) {
             findings.up += 1;
-            findings.total.note(machine.spot);
+            findings.total.add_machine(machine.spot);
             if machine.reservation.as_ref().is_some_and(|claim| claim.until <= now) {
                 machine.reservation = None;
             }
@@ -113,7 +113,7 @@
             findings.failing_calls += usize::from(machine.failed_probes > 0 && !machine.releasing);
             findings.any_call_failed |= machine.failed_calls > 0 && !machine.releasing;
             if quiet > late || unreached {
-                findings.overdue_or_unreached.note(machine.spot);
+                findings.overdue_or_unreached.add_machine(machine.spot);
             }
             // One that never reported here may still look for this node.
             let looking = if machine.last_response.is_some() { Duration::ZERO } else { find_after };
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -11,7 +11,7 @@
 use crate::env::Env;
 use crate::fleet::Machine;
 use crate::jobs::*;
-use crate::quota::Room;
+use crate::quota::Resources;
 use crate::term::Term;
 
 /// What a machine that is empty counts for beside one that is full, in seconds: work is packed.
@@ -54,7 +54,7 @@
         while placed < most {
             let job = &self.jobs[name];
             let way = self.way_of(job);
-            let ranked = self.rank(env, job, Room::of(&job.spec));
+            let ranked = self.rank(env, job, Resources::of(&job.spec));
             let mut reserve = self.reserve_left(env, job);
             let round = Round { job: name, most: most - placed, borrows, way };
             let count = self.place_round(env.steady(), &round, ranked, &mut reserve);
@@ -72,7 +72,7 @@
             return Way::OneByOne;
         }
         match &self.balancer {
-            Some(balancer) => Way::Level { within_s: balancer.pricing().crowding_s(job.mean_run_s, ONE_MORE) },
+            Some(balancer) => Way::Level { within_s: balancer.cost_model().contention_s(job.mean_run_s, ONE_MORE) },
             None => Way::Filling,
         }
     }
@@ -116,7 +116,7 @@
     fn starts_there(&mut self, now: Instant, round: &Round, machine: &Name, reserve: &mut f64) -> bool {
         let name = round.job;
         let job = &self.jobs[name];
-        let need = Room::of(&job.spec);
+        let need = Resources::of(&job.spec);
         let Some(task) = job.next_ready_task(now) else { return false };
         let target = &self.machines[machine];
         let reserved = !target.spot && *reserve < need.cpus;
@@ -124,7 +124,7 @@
         if reserved
             || !admitted
             || self.is_at_team_limit(&job.spec.team, need)
-            || !self.available_resources(target, name).holds(need)
+            || !self.available_resources(target, name).can_fit(need)
         {
             return false;
         }
@@ -162,8 +162,8 @@
         if let Some(claim) = &mut target.reservation
             && claim.job == *name
         {
-            claim.resources.sub(Room::of(&job.spec));
-            if claim.resources.is_nothing() {
+            claim.resources.sub(Resources::of(&job.spec));
+            if claim.resources.is_zero() {
                 target.reservation = None;
             }
         }
@@ -196,11 +196,11 @@
             if !used.is_empty() {
                 return Some(used);
             }
-            let need = Room::of(&job.spec);
+            let need = Resources::of(&job.spec);
             // A zone that takes no work is chosen only if there is no other.
             let room = |zone: &String| -> (bool, u32) {
                 let there = self.machines.values().filter(|m| m.zone == *zone && meets_constraints(&job.spec, m));
-                let room = there.map(|m| m.total.minus(m.used).times(need)).sum();
+                let room = there.map(|m| m.total.minus(m.used).fit_count(need)).sum();
                 (!self.zone_is_closed(zone), room)
             };
             return counts.into_keys().max_by_key(|zone| room(zone)).map(|zone| BTreeSet::from([zone]));
@@ -210,7 +210,7 @@
     }
 
     /// The machines that could take one more task of a job, the best first.
-    fn rank(&self, env: &mut Env, job: &Job, need: Room) -> Vec<(f64, Name)> {
+    fn rank(&self, env: &mut Env, job: &Job, need: Resources) -> Vec<(f64, Name)> {
         let now = env.steady();
         let zones = self.eligible_zones(job);
         let mut fitting: Vec<&Machine> = self
@@ -218,7 +218,7 @@
             .values()
             .filter(|m| m.is_schedulable(now) && meets_constraints(&job.spec, m))
             .filter(|m| zones.as_ref().is_none_or(|zones| zones.contains(&m.zone)))
-            .filter(|m| self.available_resources(m, &job.id).holds(need) && self.zone_admits(m, need))
+            .filter(|m| self.available_resources(m, &job.id).can_fit(need) && self.zone_admits(m, need))
             .filter(|m| !job.avoids(&m.name))
             .collect();
         // With more machines than can be weighed for every task, a sample does; a larger one
@@ -258,9 +258,9 @@
         let free = (machine.total.cpus - machine.used.cpus) / machine.total.cpus.max(1.0);
         match &self.balancer {
             Some(balancer) if job.spec.kind == Kind::Array => {
-                let share = Room::of(&job.spec).dominant_share(machine.total);
-                let used = balancer.load().use_of(&machine.name).unwrap_or(1.0 - free);
-                balancer.pricing().crowding_s(job.mean_run_s, used + share)
+                let share = Resources::of(&job.spec).dominant_share(machine.total);
+                let used = balancer.load().utilization(&machine.name).unwrap_or(1.0 - free);
+                balancer.cost_model().contention_s(job.mean_run_s, used + share)
             }
             _ => PACKING_S * free,
         }
@@ -286,7 +286,7 @@
     }
 
     /// Room on a machine that nothing takes, and that no open move has booked.
-    pub fn free_resources(&self, machine: &Machine) -> Room {
+    pub fn free_resources(&self, machine: &Machine) -> Resources {
         let free = machine.total.minus(machine.used);
         match &self.balancer {
             Some(balancer) => free.minus(balancer.load().booked(&machine.name)),
@@ -295,7 +295,7 @@
     }
 
     /// Free room on a machine for this job: room made for another is left alone.
-    pub fn available_resources(&self, machine: &Machine, job: &Name) -> Room {
+    pub fn available_resources(&self, machine: &Machine, job: &Name) -> Resources {
         let mut room = self.free_resources(machine);
         if let Some(claim) = &machine.reservation
             && claim.job != *job
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -8,10 +8,10 @@
 use crate::facts::Team;
 use crate::jobs::{Job, Name};
 
-pub(crate) use rushyoke_balance::Resources as Room;
+pub(crate) use rushyoke_balance::Resources;
 
 /// Amounts compare with this slack, since sums of decimals are not exact.
-pub(crate) const QUOTA_TOLERANCE: f64 = Room::SLACK;
+pub(crate) const QUOTA_TOLERANCE: f64 = Resources::TOLERANCE;
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TeamUsage {
@@ -22,13 +22,13 @@
 
 impl TeamUsage {
     /// How many more tasks of this size the limit allows.
-    pub fn headroom(&self, need: Room) -> u32 {
-        self.remaining().times(Room { memory_gb: 0.0, ..need })
+    pub fn headroom(&self, need: Resources) -> u32 {
+        self.remaining().fit_count(Resources { memory_gb: 0.0, ..need })
     }
 
     /// What the limit leaves; memory is not limited.
-    pub fn remaining(&self) -> Room {
-        Room { cpus: self.team.cpus_max - self.cpus, gpus: self.team.gpus_max - self.gpus, memory_gb: 0.0 }
+    pub fn remaining(&self) -> Resources {
+        Resources { cpus: self.team.cpus_max - self.cpus, gpus: self.team.gpus_max - self.gpus, memory_gb: 0.0 }
     }
 
     /// Whether the team uses more than it is guaranteed.
--- a/crates/core/src/rent.rs
+++ b/crates/core/src/rent.rs
@@ -15,7 +15,7 @@
 use crate::fleet::Machine;
 use crate::io::*;
 use crate::jobs::Name;
-use crate::quota::Room;
+use crate::quota::Resources;
 use crate::term::Term;
 use demand::shortfall;
 use renting::Market;
@@ -47,7 +47,7 @@
 const MAX_SAVED_MOVES: f64 = 8.0;
 
 /// What is wanted or had of one kind, in machines of a type.
-fn machines_needed(room: Room, kind: &MachineType) -> f64 {
+fn machines_needed(room: Resources, kind: &MachineType) -> f64 {
     let part = |want: f64, have: f64| {
         if want <= 0.0 {
             0.0
@@ -89,14 +89,14 @@
     /// Rents machines for `room`; spot work falls back on ordinary machines. All of it at
     /// once, as far as the cloud's calls go: in a large fleet a part each second would take
     /// minutes, while jobs wait for their first task.
-    fn rent_resources(&mut self, env: &mut Env, mut room: Room, spot: bool, within: Option<&[String]>) {
+    fn rent_resources(&mut self, env: &mut Env, mut room: Resources, spot: bool, within: Option<&[String]>) {
         let now = env.steady();
         self.renting.no_capacity_until.retain(|_, until| *until > now);
         let mut there: BTreeMap<String, u32> = BTreeMap::new();
         for machine in self.machines.values() {
             *there.entry(machine.zone.clone()).or_default() += 1;
         }
-        while !room.is_nothing() && self.renting.rentals_left > 0 {
+        while !room.is_zero() && self.renting.rentals_left > 0 {
             let mut options: Vec<(f64, f64, Market)> = Vec::new();
             for kind in env.machine_types.iter() {
                 let count = machines_needed(room, kind);
@@ -130,7 +130,7 @@
             let request = format!("r-{}-{}", self.token, self.renting.request_serial);
             tracing::info!(request, kind, zone, spot, count, "renting");
             if let Some(kind) = env.machine_type(&kind) {
-                let rented = Room { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
+                let rented = Resources { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
                 room = shortfall(room, rented.scaled(f64::from(count)));
             }
             *there.entry(zone.clone()).or_default() += count;
--- a/crates/core/src/rent/releases.rs
+++ b/crates/core/src/rent/releases.rs
@@ -11,7 +11,7 @@
 use crate::io::*;
 use crate::jobs::*;
 use crate::place::{CLAIM_DURATION, meets_constraints};
-use crate::quota::Room;
+use crate::quota::Resources;
 use crate::term::Term;
 
 use super::{
@@ -68,7 +68,7 @@
     /// Whether tasks of the job wait that its team's limit would let run.
     fn has_startable_tasks(&self, job: &Job) -> bool {
         let usage = self.quotas.usage(&job.spec.team);
-        job.waiting_tasks() > 0 && usage.is_some_and(|u| u.headroom(Room::of(&job.spec)) > 0)
+        job.waiting_tasks() > 0 && usage.is_some_and(|u| u.headroom(Resources::of(&job.spec)) > 0)
     }
 
     /// Moves the tasks of a retiring machine that save their progress, and replicas, where that
@@ -83,7 +83,7 @@
         let renting = &mut self.renting;
         renting.move_budget =
             (renting.move_budget + f64::from(replicas) * REPLICA_MOVES_PER_S_SHARE).min(MAX_SAVED_MOVES);
-        let mut free: Vec<(&Machine, Room)> = Vec::new();
+        let mut free: Vec<(&Machine, Resources)> = Vec::new();
         for machine in
             self.machines.values().filter(|m| m.is_schedulable(now) && !m.retiring && m.reservation.is_none())
         {
@@ -105,10 +105,10 @@
             let mut plan = Vec::new();
             for key in moved {
                 let job = &self.jobs[&key.0];
-                let need = Room::of(&job.spec);
+                let need = Resources::of(&job.spec);
                 let target = room.iter_mut().find(|(m, r)| {
                     let apart = job.spec.kind == Kind::Array || can_take_replica(m, machine, job, &targets);
-                    r.holds(need) && apart && m.images.contains(&job.spec.image)
+                    r.can_fit(need) && apart && m.images.contains(&job.spec.image)
                 });
                 let Some((target, room)) = target else { break };
                 room.sub(need);
@@ -129,7 +129,7 @@
             if spec.kind == Kind::Service {
                 self.renting.move_budget -= 1.0;
                 let until = now + CLAIM_DURATION;
-                let claim = Reservation { job: job.clone(), resources: Room::of(&spec), until, by_preemption: true };
+                let claim = Reservation { job: job.clone(), resources: Resources::of(&spec), until, by_preemption: true };
                 self.machines.get_mut(&target).expect("a target").reservation = Some(claim);
             }
             self.stop_task(env, &job, task, spec.save_s);
@@ -206,7 +206,7 @@
             .values()
             .filter(|m| m.up && m.counts_as_capacity() && m.tasks.is_empty() && !wanted(m))
             // A move is on its way there.
-            .filter(|m| m.total.minus(self.free_resources(m)).is_nothing())
+            .filter(|m| m.total.minus(self.free_resources(m)).is_zero())
             .filter(|m| m.retiring && now.duration_since(m.known_since) > MIN_CHARGED_TIME)
             .collect();
         // The dearest first.
--- a/crates/core/src/users/submit.rs
+++ b/crates/core/src/users/submit.rs
@@ -16,7 +16,7 @@
 use crate::io::*;
 use crate::jobs::*;
 use crate::node::Node;
-use crate::quota::{QUOTA_TOLERANCE, Room};
+use crate::quota::{QUOTA_TOLERANCE, Resources};
 
 /// Dependencies looked for by one transaction, where the store takes so many conditions.
 const MAX_DEPENDENCY_CONDITIONS: usize = 48;
@@ -195,13 +195,13 @@
 
 /// Whether the job can ever run; if not, why.
 fn check_runnable(env: &Env, spec: &JobSpec) -> Result<(), Refusal> {
-    let need = Room::of(spec);
+    let need = Resources::of(spec);
     let Some(team) = env.facts.teams.get(&spec.team) else {
         return Err(Refusal::UnknownTeam);
     };
     let fits = env.machine_types.iter().any(|kind| {
-        let room = Room { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
-        room.holds(need)
+        let room = Resources { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
+        room.can_fit(need)
             && spec.types.as_ref().is_none_or(|types| types.contains(&kind.name))
             && spec.zone.as_ref().is_none_or(|zone| kind.zones.contains(zone))
     });
