--- a/crates/core/src/election.rs
+++ b/crates/core/src/election.rs
@@ -25,7 +25,11 @@
     pub(crate) fn election_lost(&mut self) {
         let now = self.env.steady();
         if let Some(Phase::Leading { lease, .. }) = self.election.phase {
-            self.env.call_store(Purpose::Election(ElectionCall::EndLease), Urgency::Leadership, StoreOp::EndLease(lease));
+            self.env.call_store(
+                Purpose::Election(ElectionCall::EndLease),
+                Urgency::Leadership,
+                StoreOp::EndLease(lease),
+            );
         }
         self.election.holder = None;
         self.election.read_at(now + RETRY);
@@ -203,7 +207,11 @@
                 tracing::info!(version = holder.version, "dropping the leader key of an earlier incarnation");
                 let txn = Txn::default().when(LEADER_KEY, holder.version).delete(LEADER_KEY);
                 self.election.phase = Some(Phase::Busy);
-                self.env.call_store(Purpose::Election(ElectionCall::DeleteOwnKey), Urgency::Leadership, StoreOp::Txn(txn));
+                self.env.call_store(
+                    Purpose::Election(ElectionCall::DeleteOwnKey),
+                    Urgency::Leadership,
+                    StoreOp::Txn(txn),
+                );
             }
             Some(holder) => {
                 tracing::debug!(leader = holder.record.label, "following");
--- a/crates/core/src/fleet/liveness.rs
+++ b/crates/core/src/fleet/liveness.rs
@@ -81,7 +81,8 @@
             false => usize::from(alone && findings.any_call_failed) * ASKED_ALONE,
         };
         self.survey(env, asked, findings.overdue_or_unreached, findings.total);
-        let settling = now.duration_since(self.started_at) < report_fencing_window(env.facts.report_interval) + PROBE * 2;
+        let settling =
+            now.duration_since(self.started_at) < report_fencing_window(env.facts.report_interval) + PROBE * 2;
         self.update_zone_states(env, std::mem::take(&mut findings.zones), settling);
         if !spared {
             findings.unresponsive.iter().for_each(|name| self.release_unresponsive(env, name));
--- a/crates/core/src/fleet/reports.rs
+++ b/crates/core/src/fleet/reports.rs
@@ -167,7 +167,8 @@
         machine.addr = report.addr.clone();
         machine.note_alive(now, via, env.facts.report_interval);
         let new_session = report.session > machine.session && machine.session > 0;
-        let renewed = machine.last_response.is_some_and(|t| now.duration_since(t) < env.facts.worker_lease.mul_f64(RENEWED));
+        let renewed =
+            machine.last_response.is_some_and(|t| now.duration_since(t) < env.facts.worker_lease.mul_f64(RENEWED));
         if new_session && renewed && via == Channel::Report && machine.fenced.is_some() && !machine.responses_lost {
             // Its lease ended although it was answered: the answers do not reach it. It gets
             // no work and is returned; its tasks move once that is confirmed, or by its session.
--- a/crates/core/src/rent/demand.rs
+++ b/crates/core/src/rent/demand.rs
@@ -181,7 +181,8 @@
         let mut supply = Supply::default();
         for machine in self.machines.values().filter(|m| m.counts_as_capacity()) {
             let boot = env.machine_type(&machine.kind).map_or(DEFAULT_BOOT_S, |k| k.boot_s);
-            let late = !machine.up && now.duration_since(machine.known_since).as_secs_f64() > boot * LATE_AFTER_BOOT_TIMES;
+            let late =
+                !machine.up && now.duration_since(machine.known_since).as_secs_f64() > boot * LATE_AFTER_BOOT_TIMES;
             // One that is known from a record only has room, but how much?
             if late || machine.kind.is_empty() {
                 continue;
--- a/crates/core/src/rent/releases.rs
+++ b/crates/core/src/rent/releases.rs
@@ -129,7 +129,8 @@
             if spec.kind == Kind::Service {
                 self.renting.move_budget -= 1.0;
                 let until = now + CLAIM_DURATION;
-                let claim = Reservation { job: job.clone(), resources: Resources::of(&spec), until, by_preemption: true };
+                let claim =
+                    Reservation { job: job.clone(), resources: Resources::of(&spec), until, by_preemption: true };
                 self.machines.get_mut(&target).expect("a target").reservation = Some(claim);
             }
             self.stop_task(env, &job, task, spec.save_s);
--- a/crates/core/src/speculate.rs
+++ b/crates/core/src/speculate.rs
@@ -177,7 +177,9 @@
     fn table(&self, job: &Job, cells: &[Option<Cell>], levels: usize) -> Vec<(Option<f64>, f64)> {
         let need = Resources::of(&job.spec);
         let mut table: Vec<(Option<f64>, f64)> = (0..levels).map(|l| (cells[l].map(|c| c.mean_s), 0.0)).collect();
-        for machine in self.machines.values().filter(|m| m.up && m.counts_as_capacity() && meets_constraints(&job.spec, m)) {
+        for machine in
+            self.machines.values().filter(|m| m.up && m.counts_as_capacity() && meets_constraints(&job.spec, m))
+        {
             table[machine.level.min(levels - 1)].1 += f64::from(machine.total.fit_count(need));
         }
         table
--- a/crates/core/src/users.rs
+++ b/crates/core/src/users.rs
@@ -103,7 +103,8 @@
         let down = self.store_health.is_down(now);
         let late: Vec<RequestId> = self
             .users
-            .pending.iter()
+            .pending
+            .iter()
             .filter(|(_, until)| down || **until <= now)
             .map(|(request_id, _)| *request_id)
             .collect();
--- a/crates/core/src/users/lookup.rs
+++ b/crates/core/src/users/lookup.rs
@@ -235,6 +235,9 @@
         };
         let dependencies =
             cached.dependencies.iter().filter(|dependency| !self.users.cache.is_done(dependency)).cloned().collect();
-        HttpResponse::json(200, &JobView { id: id.to_owned(), state, done: Some(done), running: Some(running), dependencies })
+        HttpResponse::json(
+            200,
+            &JobView { id: id.to_owned(), state, done: Some(done), running: Some(running), dependencies },
+        )
     }
 }
