--- a/crates/balance/src/balancer.rs
+++ b/crates/balance/src/balancer.rs
@@ -1,5 +1,5 @@
-//! The balancer: the load model, fair shares, planner and open moves put together, as the core uses
-//! them.
+//! The balancer combines the load model, fair shares, planner and open moves into the interface that the
+//! core uses.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -16,29 +16,30 @@
 use crate::shares::{BorrowRequest, FairShares};
 use crate::{Name, TaskKey};
 
-/// What a step after the booking may take, beside the task's own time to save.
-const STEP_SLACK: u32 = 2;
+/// A move times out when it has been in one state for this many booking timeouts; a single one would leave no
+/// time for the task to save its progress.
+const BOOKING_TIMEOUTS_PER_STATE: u32 = 2;
 
-/// What was done since the last summary, and how even the fleet is.
+/// Statistics of moves since the last summary, and how evenly the fleet is utilized.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Summary {
-    /// Machines, their mean use and how it varies.
+    /// Number of machines.
     pub machines: usize,
-    /// Mean use.
-    pub mean: f64,
-    /// Coefficient of variation of use.
+    /// Mean utilization.
+    pub mean_utilization: f64,
+    /// Coefficient of variation of the utilization.
     pub variation: f64,
-    /// Jain's index of use.
+    /// Jain's fairness index of the utilization.
     pub jain: f64,
-    /// Moves begun.
+    /// Moves that began.
     pub begun: u64,
     /// Moves that ended with the task running at its destination.
     pub confirmed: u64,
-    /// Moves given up, by reason.
+    /// Moves that were given up, by reason.
     pub given_up: Vec<(GiveUpReason, u64)>,
-    /// Moves that are open.
+    /// Number of open moves.
     pub open: usize,
-    /// Jobs held back for other teams now.
+    /// Number of jobs that are held back now in favor of other teams.
     pub held_jobs: usize,
 }
 
@@ -47,7 +48,14 @@
         write!(
             formatter,
             "machines {}, mean use {:.2}, variation {:.2}, jain {:.2}, moves begun {}, confirmed {}, open {}, jobs held {}",
-            self.machines, self.mean, self.variation, self.jain, self.begun, self.confirmed, self.open, self.held_jobs
+            self.machines,
+            self.mean_utilization,
+            self.variation,
+            self.jain,
+            self.begun,
+            self.confirmed,
+            self.open,
+            self.held_jobs
         )?;
         for (reason, count) in &self.given_up {
             write!(formatter, ", given up {reason:?} {count}")?;
@@ -56,7 +64,7 @@
     }
 }
 
-/// Load spreading for one term of a leader.
+/// Load balancing during one term of a leader.
 #[derive(Debug)]
 pub struct Balancer {
     settings: Settings,
@@ -70,7 +78,7 @@
 }
 
 impl Balancer {
-    /// A balancer with empty tables, for teams with these guarantees.
+    /// Creates a balancer without machines, tasks or moves, for teams with these guarantees.
     pub fn new(settings: Settings, teams: impl IntoIterator<Item = (Name, Resources)>) -> Balancer {
         Balancer {
             settings,
@@ -89,39 +97,39 @@
         &self.settings
     }
 
-    /// Load of machines, zones and teams.
+    /// The load of machines, zones and teams.
     pub fn load(&self) -> &LoadModel {
         &self.load
     }
 
-    /// Fair shares of teams.
+    /// The fair shares of teams.
     pub fn shares(&self) -> &FairShares {
         &self.shares
     }
 
-    /// Moves that are open.
+    /// The open moves.
     pub fn moves(&self) -> &Moves {
         &self.moves
     }
 
-    /// Expected times.
+    /// The cost model for placements and moves.
     pub fn cost_model(&self) -> CostModel {
         CostModel::new(&self.settings)
     }
 
-    /// What the core knows of a machine.
+    /// Sets what the core knows of a machine.
     pub fn update_machine(&mut self, name: &Name, info: MachineInfo) {
         self.load.set_machine(name, info);
     }
 
-    /// A machine is gone; returns the moves that end with it, to be given up.
+    /// Removes a machine; returns the moves whose destination it was, which the caller gives up.
     pub fn remove_machine(&mut self, name: &Name) -> Vec<TaskKey> {
         self.load.remove_machine(name);
         self.rate_limit.forget_machine(name);
         self.moves.unplaced_moves_to(name)
     }
 
-    /// A task has a place. If the move of it brought it there, room is booked no more.
+    /// Records that a task was placed. If its move brought it there, the booking is released.
     pub fn task_placed(&mut self, now: Instant, key: &TaskKey, machine: &Name, team: &Name, need: Resources) {
         self.load.add_task(key, machine, team, need);
         let Some(open) = self.moves.get(key) else { return };
@@ -133,24 +141,24 @@
         self.moves.advance(now, key, &[MoveState::Vacated], MoveState::Placed);
     }
 
-    /// A task was seen running.
+    /// Records that a task was reported running; returns its move if that ends with it.
     pub fn task_running(&mut self, key: &TaskKey) -> Option<(Move, MoveEnd)> {
         self.load.mark_running(key);
         match self.moves.get(key)?.state {
             MoveState::Placed => self.end(key, MoveEnd::Confirmed),
-            // Its stop was never sent or may still come; it is not sent again.
+            // The stop was never sent, or is still on its way; it is not sent again.
             MoveState::Inherited => self.end(key, MoveEnd::GivenUp(GiveUpReason::LeaderChanged)),
             _ => None,
         }
     }
 
-    /// A task was seen saving.
+    /// Records that a task was reported saving its progress.
     pub fn task_saving(&mut self, now: Instant, key: &TaskKey) {
         self.moves.advance(now, key, &[MoveState::Inherited, MoveState::Stopping], MoveState::Saving);
     }
 
-    /// A task is proven gone from its place, with its end or without. Tells whether its move goes on:
-    /// its destination waits for it.
+    /// Records that a task is proven gone from its machine; `ended` if it does not start again at
+    /// once. Returns its move if that ends with it; otherwise the move continues at its destination.
     pub fn task_left(&mut self, now: Instant, key: &TaskKey, ended: bool) -> Option<(Move, MoveEnd)> {
         self.load.remove_task(key);
         let state = self.moves.get(key)?.state;
@@ -169,13 +177,13 @@
         self.end(key, MoveEnd::GivenUp(reason))
     }
 
-    /// Ends a move with its reason.
+    /// Gives up a move for this reason.
     pub fn give_up(&mut self, key: &TaskKey, reason: GiveUpReason) -> Option<(Move, MoveEnd)> {
         self.end(key, MoveEnd::GivenUp(reason))
     }
 
-    /// Begins a move: from now on its room counts against everything else. `part` is the value of the
-    /// record that names it.
+    /// Begins a move and books its resources at the destination. `part` is the part of the record that will
+    /// hold it.
     pub fn begin(&mut self, now: Instant, proposal: &Proposal, part: usize) {
         self.begun += 1;
         self.rate_limit.move_begun(now, &proposal.from, &proposal.to);
@@ -192,8 +200,8 @@
         });
     }
 
-    /// Takes over a move of an earlier leader. `vacated` if its task is proven gone from the source; else
-    /// it stands there by the records.
+    /// Takes over a move of an earlier leader. `vacated` if its task is proven gone from the source; otherwise
+    /// the task is still there according to the records.
     pub fn adopt(&mut self, now: Instant, open: &OpenMove, part: usize, need: Resources, vacated: bool) {
         self.open_move(Move {
             key: (Name::from(open.job.as_str()), open.task),
@@ -216,10 +224,11 @@
         self.moves.begin(open);
     }
 
-    /// The booking is durable: the stop may be ordered. False if the move is no longer there.
+    /// Records that the booking is durable; returns whether the task may be ordered to stop, which is false if
+    /// the move is no longer open.
     pub fn booking_durable(&mut self, now: Instant, key: &TaskKey, attempt: u64) -> bool {
-        let same = self.moves.get(key).is_some_and(|open| open.attempt == attempt);
-        same && self.moves.advance(now, key, &[MoveState::Booked], MoveState::Stopping)
+        let is_open = self.moves.get(key).is_some_and(|open| open.attempt == attempt);
+        is_open && self.moves.advance(now, key, &[MoveState::Booked], MoveState::Stopping)
     }
 
     fn end(&mut self, key: &TaskKey, end: MoveEnd) -> Option<(Move, MoveEnd)> {
@@ -237,42 +246,42 @@
         Some((ended, end))
     }
 
-    /// Lets time pass; returns the moves that took too long, to be given up.
+    /// Advances time; returns the moves that timed out, which the caller gives up.
     pub fn tick(&mut self, now: Instant) -> Vec<TaskKey> {
         self.rate_limit.tick(now, self.load.machines(), &self.settings);
-        self.moves.timed_out(now, self.settings.booking_timeout * STEP_SLACK)
+        self.moves.timed_out(now, self.settings.booking_timeout * BOOKING_TIMEOUTS_PER_STATE)
     }
 
-    /// For how long a vacated task waits for its destination.
+    /// The configured booking timeout.
     pub fn booking_timeout(&self) -> Duration {
         self.settings.booking_timeout
     }
 
-    /// The next move that pays, if the budget allows one, and the value of the record that has room for
-    /// it; values hold so many bytes.
+    /// Returns the next move worth its cost, if the budget allows one, and the part of the record with space for
+    /// it; each part holds at most `value_bytes`.
     pub fn propose(&self, view: &impl FleetView, value_bytes: usize) -> Option<(Proposal, usize)> {
         if self.rate_limit.available() == 0 {
             return None;
         }
         let planner =
             Planner { load: &self.load, moves: &self.moves, rate_limit: &self.rate_limit, settings: &self.settings };
-        let next = planner.next(view)?;
-        let bytes = OpenMove::max_bytes(&next.task.key.0, &next.from, &next.to);
+        let proposal = planner.next(view)?;
+        let bytes = OpenMove::max_bytes(&proposal.task.key.0, &proposal.from, &proposal.to);
         let part = self.moves.part_with_space(bytes, value_bytes)?;
-        Some((next, part))
+        Some((proposal, part))
     }
 
     /// Whether a team may have one more task placed now.
-    pub fn may_place(&mut self, now: Instant, ask: &BorrowRequest) -> bool {
-        self.shares.may_place(now, &self.load, &self.settings, ask)
+    pub fn may_place(&mut self, now: Instant, request: &BorrowRequest) -> bool {
+        self.shares.may_place(now, &self.load, &self.settings, request)
     }
 
-    /// A job is over.
+    /// Forgets a job that has ended.
     pub fn job_ended(&mut self, job: &Name) {
         self.shares.forget_job(job);
     }
 
-    /// One value of the record; from now on it counts as written.
+    /// Returns one part of the record, which counts as written from now on.
     pub fn record(&mut self, part: usize) -> OpenMoves {
         self.moves.set_unwritten(part, false);
         let moves = self.moves.in_part(part).map(|open| OpenMove {
@@ -285,18 +294,18 @@
         OpenMoves { moves: moves.collect() }
     }
 
-    /// A value of the record must be written: its write failed or is in doubt, or it is an earlier
-    /// leader's.
+    /// Marks a part of the record to be written: its last write failed or is in doubt, or was made by an earlier
+    /// leader.
     pub fn mark_unwritten(&mut self, part: usize) {
         self.moves.set_unwritten(part, true);
     }
 
-    /// What was done since the last summary.
+    /// Returns the statistics since the last summary and resets them.
     pub fn summary(&mut self) -> Summary {
         let evenness = self.load.evenness();
         Summary {
             machines: evenness.machines(),
-            mean: evenness.mean(),
+            mean_utilization: evenness.mean(),
             variation: evenness.variation(),
             jain: evenness.jain(),
             begun: std::mem::take(&mut self.begun),
--- a/crates/balance/src/cost.rs
+++ b/crates/balance/src/cost.rs
@@ -1,70 +1,71 @@
-//! Expected times, in seconds: what a placement and a move cost. One unit decides, so that keeping
-//! work near its inputs and spreading it evenly can be weighed against each other.
+//! Expected cost of placements and moves in seconds. A single unit allows data locality to be weighed
+//! against an even distribution of load.
 
 use crate::settings::Settings;
 
-/// Turns the use of machines into expected seconds.
+/// Converts the utilization of machines into expected seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct CostModel {
     contention_slowdown: f64,
 }
 
-/// What a move is expected to cost, and the time left on either side of it; seconds.
+/// Expected cost of a move, and the run time that the task has left; all in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MoveCost {
-    /// Run time that the task has left, alone on a machine.
+    /// Remaining run time of the task, if it were alone on a machine.
     pub remaining_s: f64,
-    /// Work since its last checkpoint, which runs again.
+    /// Work since the last checkpoint, which is lost and runs again.
     pub lost_work_s: f64,
-    /// From the order to stop to the proof that the task is gone.
+    /// Time from the stop order until the task is proven gone from its source.
     pub stop_s: f64,
-    /// Until its image is at the destination.
+    /// Time until the task's image is at the destination.
     pub fetch_s: f64,
 }
 
 impl MoveCost {
-    /// Time that the move takes and wastes.
+    /// Total time lost to the move.
     pub fn total_s(&self) -> f64 {
         self.lost_work_s + self.stop_s + self.fetch_s
     }
 }
 
-/// One side of a move.
+/// The source or destination machine of a move, as the cost model sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MoveEndpoint {
-    /// Use of the machine with the task on it, as a share.
+    /// Utilization of the machine with the task on it, as a share.
     pub utilization: f64,
     /// Share of the machine that the task takes.
     pub task_share: f64,
-    /// Run time that the other tasks on the machine have left together.
+    /// Total remaining run time of the other tasks on the machine.
     pub others_remaining_s: f64,
 }
 
 impl CostModel {
-    /// Pricing by the operators' settings.
+    /// Creates a cost model from the settings.
     pub fn new(settings: &Settings) -> CostModel {
         CostModel { contention_slowdown: settings.contention_slowdown }
     }
 
-    /// Expected time until a new task is done on a machine: its image, and its run among others.
-    /// What is the same on every machine is left out.
-    pub fn placement_s(&self, fetch_s: f64, run_s: f64, used_after: f64) -> f64 {
-        fetch_s + self.contention_s(run_s, used_after)
+    /// Expected time until a new task completes on a machine: fetching its image, and its run slowed by
+    /// contention. The run time itself is left out, since it is the same on every machine.
+    pub fn placement_s(&self, fetch_s: f64, run_s: f64, utilization_after: f64) -> f64 {
+        fetch_s + self.contention_s(run_s, utilization_after)
     }
 
-    /// By how much longer a run takes on a machine that is utilization so much.
+    /// Additional time that a run takes on a machine with this utilization.
     pub fn contention_s(&self, run_s: f64, utilization: f64) -> f64 {
         run_s * self.contention_slowdown * utilization.clamp(0.0, 1.0)
     }
 
-    /// Expected seconds that a move gains over all tasks concerned, its cost taken off: what the task
-    /// itself wins by running among fewer, what its old neighbours win, and what its new ones lose.
-    pub fn net_gain_s(&self, cost: &MoveCost, from: &MoveEndpoint, to: &MoveEndpoint) -> f64 {
-        let stays = cost.remaining_s + self.contention_s(cost.remaining_s, from.utilization);
-        let redone = cost.remaining_s + cost.lost_work_s;
-        let moves = cost.stop_s + cost.fetch_s + redone + self.contention_s(redone, to.utilization);
-        let relief = self.contention_s(from.others_remaining_s, from.task_share);
-        let burden = self.contention_s(to.others_remaining_s, to.task_share);
-        stays - moves + relief - burden
+    /// Expected net gain of a move over all affected tasks, after its cost: the time that the moved task
+    /// saves under less contention, plus what the tasks at the source save, minus what those at the
+    /// destination lose.
+    pub fn net_gain_s(&self, cost: &MoveCost, source: &MoveEndpoint, destination: &MoveEndpoint) -> f64 {
+        let unmoved_s = cost.remaining_s + self.contention_s(cost.remaining_s, source.utilization);
+        let rerun_s = cost.remaining_s + cost.lost_work_s;
+        let moved_s = cost.stop_s + cost.fetch_s + rerun_s + self.contention_s(rerun_s, destination.utilization);
+        let saved_at_source_s = self.contention_s(source.others_remaining_s, source.task_share);
+        let lost_at_destination_s = self.contention_s(destination.others_remaining_s, destination.task_share);
+        unmoved_s - moved_s + saved_at_source_s - lost_at_destination_s
     }
 }
--- a/crates/balance/src/evenness.rs
+++ b/crates/balance/src/evenness.rs
@@ -1,6 +1,6 @@
-//! How evenly machines are used, from running sums.
+//! How evenly machines are utilized, computed from running sums.
 
-/// Sums over the use of machines, kept as it changes.
+/// Running sums over the utilization of machines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Evenness {
     machines: usize,
@@ -9,36 +9,36 @@
 }
 
 impl Evenness {
-    /// One more machine with this use.
-    pub fn add(&mut self, used: f64) {
+    /// Adds a machine with this utilization.
+    pub fn add(&mut self, utilization: f64) {
         self.machines += 1;
-        self.sum += used;
-        self.squares += used * used;
+        self.sum += utilization;
+        self.squares += utilization * utilization;
     }
 
-    /// A machine with this use less.
-    pub fn remove(&mut self, used: f64) {
+    /// Removes a machine that was added with this utilization.
+    pub fn remove(&mut self, utilization: f64) {
         self.machines -= 1;
         if self.machines == 0 {
-            // Nothing is left, so neither are rounding errors.
+            // Drops the rounding errors that have accumulated in the sums.
             *self = Evenness::default();
             return;
         }
-        self.sum -= used;
-        self.squares -= used * used;
+        self.sum -= utilization;
+        self.squares -= utilization * utilization;
     }
 
-    /// Machines counted.
+    /// Number of machines counted.
     pub fn machines(&self) -> usize {
         self.machines
     }
 
-    /// The mean use.
+    /// Mean utilization, or 0 without machines.
     pub fn mean(&self) -> f64 {
         if self.machines == 0 { 0.0 } else { self.sum / self.machines as f64 }
     }
 
-    /// Coefficient of variation: the standard deviation over the mean; 0 is perfectly even.
+    /// Coefficient of variation: the standard deviation divided by the mean; 0 is perfectly even.
     pub fn variation(&self) -> f64 {
         let mean = self.mean();
         if mean <= f64::EPSILON {
@@ -48,7 +48,7 @@
         variance.max(0.0).sqrt() / mean
     }
 
-    /// Jain's fairness index: 1 is perfectly even, 1/n means that one machine has it all.
+    /// Jain's fairness index: 1 is perfectly even, and 1/n means that one of n machines does all the work.
     pub fn jain(&self) -> f64 {
         if self.squares <= f64::EPSILON {
             return 1.0;
--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -1,9 +1,9 @@
-//! Load spreading as a pure state machine: no I/O, no clock, no randomness.
+//! Load balancing as a pure state machine: no I/O, no clock, no randomness.
 //!
-//! The scheduler's core feeds a [`Balancer`] with changes (machines, tasks, teams) and asks it what
-//! a placement costs, whether a team may borrow, and which running tasks should move. The core alone
-//! gives orders and writes: everything here is advice, and every step of a move is taken only when
-//! the core reports the event that allows it. See `docs/balance.md` for the design.
+//! The scheduler's core reports changes of machines, tasks and teams to a [`Balancer`] and asks it what
+//! a placement costs, whether a team may exceed its guarantee, and which running tasks should move. The
+//! balancer only advises: the core alone sends orders and writes records, and a move advances only when
+//! the core reports the event that allows its next step. See `docs/balance.md` for the design.
 
 #![warn(missing_docs)]
 
--- a/crates/balance/src/load.rs
+++ b/crates/balance/src/load.rs
@@ -1,11 +1,11 @@
-//! The load model: for each machine, zone and team what is used, promised and booked, and where it is
-//! heading. Kept by changes: no message makes it look at all machines or tasks.
+//! The load model: resources in use by machine, zone and team, and the utilization that machines will reach.
+//! It is updated incrementally, so that no single event iterates over all machines or tasks.
 //!
-//! *Used* is what tasks take that were seen running, *promised* what placed tasks will take that were
-//! not (their image may still be coming), *claimed* what preemption keeps for a job, *booked* what
-//! open moves bring, *departing* what they take away. A machine's *use* is where it is heading: the first
-//! four less the last. So one that is just filling up does not look idle, and one that moves already
-//! leave does not look as full as it is.
+//! *Used* resources belong to tasks that were reported running, *starting* ones to placed tasks that were not
+//! yet (their image may still be fetched), *claimed* ones are kept by preemption for a job, *booked* ones are
+//! for tasks that open moves will bring, and *departing* ones belong to tasks that open moves will take away. A
+//! machine's *utilization* counts the first four without the last. So a machine that is filling up does not
+//! look idle, and one that tasks are about to leave does not look full.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,23 +13,23 @@
 use crate::resources::Resources;
 use crate::{Name, TaskKey};
 
-/// Steps of the index by use.
-const STEPS: f64 = 1000.0;
+/// Number of steps between no and full utilization in the index of machines.
+const UTILIZATION_STEPS: f64 = 1000.0;
 
-/// What the core says of a machine.
+/// A machine as reported by the core.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineInfo {
     /// Its zone.
     pub zone: Name,
-    /// All that it has.
+    /// Its total resources.
     pub total: Resources,
     /// Whether tasks may be moved to it.
     pub accepts_moves: bool,
-    /// What preemption keeps on it for a job.
+    /// Resources that preemption keeps on it for a job.
     pub claimed: Resources,
 }
 
-/// A task on a machine, as the model counts it.
+/// A placed task, as the model counts it.
 #[derive(Clone, Debug)]
 struct PlacedTask {
     team: Name,
@@ -47,7 +47,7 @@
     claimed: Resources,
     booked: Resources,
     departing: Resources,
-    /// Its step in the index, and its use as it was counted there.
+    /// Its step in the index, and the utilization with which it was counted there.
     indexed: Option<(u32, f64)>,
 }
 
@@ -61,28 +61,28 @@
     }
 }
 
-/// What a team has.
+/// Resources in use by a team.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TeamLoad {
-    /// By tasks that were seen running.
+    /// Resources of tasks that were reported running.
     pub used: Resources,
-    /// By tasks that were placed and not yet seen running.
+    /// Resources of tasks that are placed but not yet reported running.
     pub starting: Resources,
 }
 
 impl TeamLoad {
-    /// Both together.
+    /// Returns the sum of both.
     pub fn all(&self) -> Resources {
         self.used.plus(self.starting)
     }
 }
 
-/// What a zone has, and what is taken of it.
+/// Total and allocated resources of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ZoneLoad {
-    /// What its machines have.
+    /// Resources of its machines.
     pub total: Resources,
-    /// Used, promised, claimed and booked.
+    /// Resources that are used, starting, claimed or booked.
     pub allocated: Resources,
 }
 
@@ -93,9 +93,9 @@
     tasks: BTreeMap<TaskKey, (Name, PlacedTask)>,
     teams: BTreeMap<Name, TeamLoad>,
     zones: BTreeMap<Name, ZoneLoad>,
-    /// Machines in the order of their use.
+    /// Machines in the order of their utilization.
     by_utilization: BTreeSet<(u32, Name)>,
-    /// Those that are open among them.
+    /// The machines among them that accept moves.
     destinations_by_utilization: BTreeSet<(u32, Name)>,
     evenness: Evenness,
     total: Resources,
@@ -103,43 +103,43 @@
 }
 
 impl LoadModel {
-    /// Machines that are known with all that they have.
+    /// Number of machines whose resources are known.
     pub fn machines(&self) -> usize {
         self.evenness.machines()
     }
 
-    /// How evenly they are used.
+    /// How evenly the machines are utilized.
     pub fn evenness(&self) -> &Evenness {
         &self.evenness
     }
 
-    /// What all machines have.
+    /// Total resources of all machines.
     pub fn total(&self) -> Resources {
         self.total
     }
 
-    /// What nobody uses, is promised or has booked.
+    /// Resources of all machines that are not allocated.
     pub fn free(&self) -> Resources {
         let free = self.total.minus(self.allocated);
         Resources { cpus: free.cpus.max(0.0), gpus: free.gpus.max(0.0), memory_gb: free.memory_gb.max(0.0) }
     }
 
-    /// What a team has.
+    /// Returns the resources in use by a team.
     pub fn team(&self, team: &str) -> TeamLoad {
         self.teams.get(team).copied().unwrap_or_default()
     }
 
-    /// What a zone has.
+    /// Returns the total and allocated resources of a zone.
     pub fn zone(&self, zone: &str) -> ZoneLoad {
         self.zones.get(zone).copied().unwrap_or_default()
     }
 
-    /// The share of a machine that will be used once open moves are done.
+    /// Returns the utilization that a machine will have once the open moves are done.
     pub fn utilization(&self, machine: &str) -> Option<f64> {
         self.machines.get(machine).map(MachineLoad::utilization)
     }
 
-    /// What all machines but this one would not change: the share that `need` is of it.
+    /// Returns the dominant share of the machine that `need` takes.
     pub fn share_of(&self, machine: &str, need: Resources) -> f64 {
         self.machines.get(machine).map_or(0.0, |load| need.dominant_share(load.total))
     }
@@ -149,22 +149,22 @@
         self.machines.get(machine).is_some_and(|load| load.accepts_moves)
     }
 
-    /// Room on a machine that is booked by open moves.
+    /// Returns the resources that open moves have booked on a machine.
     pub fn booked(&self, machine: &str) -> Resources {
         self.machines.get(machine).map(|load| load.booked).unwrap_or_default()
     }
 
-    /// The machines that are used the most.
+    /// Returns the most utilized machines, the highest first.
     pub fn most_loaded(&self, count: usize) -> Vec<Name> {
         self.by_utilization.iter().rev().take(count).map(|(_, name)| name.clone()).collect()
     }
 
-    /// The open machines that are used the least.
+    /// Returns the least utilized machines that accept moves, the lowest first.
     pub fn least_loaded(&self, count: usize) -> Vec<Name> {
         self.destinations_by_utilization.iter().take(count).map(|(_, name)| name.clone()).collect()
     }
 
-    /// Applies a change to a machine, and brings sums and index in line with it.
+    /// Applies a change to a machine and updates the sums and the index.
     fn change(&mut self, name: &Name, change: impl FnOnce(&mut MachineLoad)) {
         let load = self.machines.entry(name.clone()).or_default();
         let (zone, total, allocated) = (load.zone.clone(), load.total, load.allocated());
@@ -186,34 +186,34 @@
 
     fn reindex(&mut self, name: &Name) {
         let Some(load) = self.machines.get_mut(name) else { return };
-        if let Some((step, share)) = load.indexed.take() {
-            self.evenness.remove(share);
+        if let Some((step, utilization)) = load.indexed.take() {
+            self.evenness.remove(utilization);
             self.by_utilization.remove(&(step, name.clone()));
             self.destinations_by_utilization.remove(&(step, name.clone()));
         }
-        // One of which only a name is known has no share.
+        // A machine known by its name only has no utilization.
         if load.total.is_zero() {
             return;
         }
-        let share = load.utilization();
-        let step = (share * STEPS).clamp(0.0, STEPS * 2.0) as u32;
-        load.indexed = Some((step, share));
-        self.evenness.add(share);
+        let utilization = load.utilization();
+        let step = (utilization * UTILIZATION_STEPS).clamp(0.0, UTILIZATION_STEPS * 2.0) as u32;
+        load.indexed = Some((step, utilization));
+        self.evenness.add(utilization);
         self.by_utilization.insert((step, name.clone()));
         if load.accepts_moves {
             self.destinations_by_utilization.insert((step, name.clone()));
         }
     }
 
-    /// What the core knows of a machine; cheap if nothing changed.
+    /// Sets what the core knows of a machine; cheap if nothing changed.
     pub fn set_machine(&mut self, name: &Name, info: MachineInfo) {
-        let same = self.machines.get(name).is_some_and(|load| {
+        let unchanged = self.machines.get(name).is_some_and(|load| {
             load.zone.as_ref() == Some(&info.zone)
                 && load.total == info.total
                 && load.accepts_moves == info.accepts_moves
                 && load.claimed == info.claimed
         });
-        if same {
+        if unchanged {
             return;
         }
         self.change(name, |load| {
@@ -224,33 +224,33 @@
         });
     }
 
-    /// A machine is gone; its tasks were taken off before.
+    /// Removes a machine; its tasks were removed before.
     pub fn remove_machine(&mut self, name: &Name) {
         if !self.machines.contains_key(name) {
             return;
         }
         self.change(name, |load| {
-            // Its entry in the index goes with the change.
+            // `change` needs the zone and the index entry to remove the machine from both.
             *load = MachineLoad { zone: load.zone.clone(), indexed: load.indexed, ..MachineLoad::default() };
         });
         self.machines.remove(name);
     }
 
-    /// A task has a place now.
+    /// Adds a task that was placed.
     pub fn add_task(&mut self, key: &TaskKey, machine: &Name, team: &Name, need: Resources) {
         self.remove_task(key);
         self.teams.entry(team.clone()).or_default().starting.add(need);
-        let held = PlacedTask { team: team.clone(), need, running: false };
-        self.tasks.insert(key.clone(), (machine.clone(), held));
+        let task = PlacedTask { team: team.clone(), need, running: false };
+        self.tasks.insert(key.clone(), (machine.clone(), task));
         self.change(machine, |load| load.starting.add(need));
     }
 
-    /// A task was seen running where it was placed.
+    /// Marks a task as running on the machine where it was placed.
     pub fn mark_running(&mut self, key: &TaskKey) {
-        let Some((machine, held)) = self.tasks.get_mut(key).filter(|(_, held)| !held.running) else { return };
-        held.running = true;
-        let (machine, need) = (machine.clone(), held.need);
-        let team = self.teams.entry(held.team.clone()).or_default();
+        let Some((machine, task)) = self.tasks.get_mut(key).filter(|(_, task)| !task.running) else { return };
+        task.running = true;
+        let (machine, need) = (machine.clone(), task.need);
+        let team = self.teams.entry(task.team.clone()).or_default();
         team.starting.sub(need);
         team.used.add(need);
         self.change(&machine, |load| {
@@ -259,37 +259,37 @@
         });
     }
 
-    /// A task has left its place.
+    /// Removes a task that has left its machine.
     pub fn remove_task(&mut self, key: &TaskKey) {
-        let Some((machine, held)) = self.tasks.remove(key) else { return };
-        if let Some(team) = self.teams.get_mut(&held.team) {
-            let part = if held.running { &mut team.used } else { &mut team.starting };
-            part.sub(held.need);
+        let Some((machine, task)) = self.tasks.remove(key) else { return };
+        if let Some(team) = self.teams.get_mut(&task.team) {
+            let amount = if task.running { &mut team.used } else { &mut team.starting };
+            amount.sub(task.need);
         }
         self.change(&machine, |load| {
-            let part = if held.running { &mut load.used } else { &mut load.starting };
-            part.sub(held.need);
+            let amount = if task.running { &mut load.used } else { &mut load.starting };
+            amount.sub(task.need);
         });
     }
 
-    /// Room is booked for a move on its way.
+    /// Books resources on the destination of a move.
     pub fn book(&mut self, machine: &Name, need: Resources) {
         self.change(machine, |load| load.booked.add(need));
     }
 
-    /// A task is to leave a machine by a move.
+    /// Counts a task that a move will take away from the machine.
     pub fn add_departing(&mut self, machine: &Name, need: Resources) {
         self.change(machine, |load| load.departing.add(need));
     }
 
-    /// It has left, or stays.
+    /// Stops counting a departing task, which has left or stays.
     pub fn remove_departing(&mut self, machine: &Name, need: Resources) {
         if self.machines.contains_key(machine) {
             self.change(machine, |load| load.departing.sub(need));
         }
     }
 
-    /// Booked room is given back.
+    /// Releases booked resources.
     pub fn unbook(&mut self, machine: &Name, need: Resources) {
         if self.machines.contains_key(machine) {
             self.change(machine, |load| load.booked.sub(need));
--- a/crates/balance/src/moves.rs
+++ b/crates/balance/src/moves.rs
@@ -1,15 +1,15 @@
-//! The life of a move, from the booking of room at its destination to its end.
+//! The life cycle of a move, from booking resources at its destination to its end.
 //!
 //! ```text
 //! Booked ──durable──▶ Stopping ──saves──▶ Saving ──┐
-//!    │                    └───────────────────────▶├─proven empty─▶ Vacated ──planned──▶ Placed ──runs──▶ Confirmed
+//!    │                    └───────────────────────▶├─proven gone──▶ Vacated ──planned──▶ Placed ──runs──▶ Confirmed
 //!    │  Inherited (by a new leader) ──saves, or is gone──▶ as above
-//!    └── any failure: given up with its reason; after the stop the task is placed like any other
+//!    └── any failure: given up with a reason; once stopped, the task is placed like any other
 //! ```
 //!
-//! Guards: no stop before the booking and the task's mark are durable, so that a new leader never
-//! repeats a move; one move for each task at a time; room stays booked from before the stop until the
-//! task has its new place, or the move ends.
+//! Invariants: no task is stopped before the booking and the task's mark are durable, so that a new leader
+//! never repeats a move; a task has at most one move at a time; the resources stay booked from before the
+//! stop until the task has its new placement or the move ends.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -18,29 +18,29 @@
 use crate::resources::Resources;
 use crate::{Name, TaskKey};
 
-/// How far a move has come.
+/// The state of an open move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MoveState {
-    /// Room is booked; that is not yet durable.
+    /// The resources are booked, but the booking is not durable yet.
     Booked,
-    /// Taken over from an earlier leader: whether the task was stopped its worker will tell.
+    /// Taken over from an earlier leader; the worker's reports will show whether the task was stopped.
     Inherited,
     /// The task was ordered to stop.
     Stopping,
-    /// It was seen saving its progress.
+    /// The task was reported saving its progress.
     Saving,
-    /// It is proven gone from its source, and waits for its new place.
+    /// The task is proven gone from the source and waits for its new placement.
     Vacated,
-    /// Its new place at the destination is planned or ordered.
+    /// The task's placement at the destination is planned or ordered.
     Placed,
 }
 
 /// Why a move was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum GiveUpReason {
-    /// The destination has no more room for it, or may not take it.
+    /// The destination no longer has the resources, or may not run the task.
     DestinationFull,
-    /// The destination is retiring, straggling, silent or to be taken away.
+    /// The destination is retiring, straggling, unresponsive or about to be released.
     DestinationUnfit,
     /// The destination is gone.
     DestinationGone,
@@ -48,15 +48,15 @@
     TaskEnded,
     /// Its job was cancelled.
     JobCancelled,
-    /// It left the source otherwise, before it was ordered to stop.
+    /// The task left the source for another reason, before it was ordered to stop.
     LeftEarly,
-    /// It was placed elsewhere.
+    /// The task was placed elsewhere.
     PlacedElsewhere,
-    /// A step took too long.
+    /// The move stayed in one state for too long.
     TimedOut,
-    /// An earlier leader began it, and the task runs on where it was.
+    /// An earlier leader began the move, and the task still runs at the source.
     LeaderChanged,
-    /// A zone is being evacuated: its task is placed in the order of tiers.
+    /// A zone is being evacuated, so the task is placed in the order of tiers instead.
     Evacuation,
 }
 
@@ -65,59 +65,59 @@
 pub enum MoveEnd {
     /// The task runs at the destination.
     Confirmed,
-    /// It was given up.
+    /// The move was given up.
     GivenUp(GiveUpReason),
 }
 
-/// A move that is open.
+/// An open move.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Move {
     /// The task.
     pub key: TaskKey,
     /// Its attempt at the source.
     pub attempt: u64,
-    /// The source.
+    /// The source machine.
     pub from: Name,
-    /// The destination.
+    /// The destination machine.
     pub to: Name,
-    /// What the task needs, and is booked.
+    /// Resources that the task requests and that are booked at the destination.
     pub need: Resources,
-    /// How far it has come.
+    /// Its state.
     pub state: MoveState,
-    /// When it came to this state.
+    /// When it entered this state.
     pub since: Instant,
-    /// Expected seconds that it gains.
+    /// Expected net gain of the move.
     pub gain_s: f64,
-    /// Which value of the record names it.
+    /// The part of the record that holds it.
     pub part: usize,
 }
 
 impl Move {
-    /// Bytes that it takes of the record at the most.
+    /// Upper bound of the bytes that it takes in the record.
     pub fn record_bytes(&self) -> usize {
         OpenMove::max_bytes(&self.key.0, &self.from, &self.to)
     }
 
-    /// Whether its task is still at the source, to leave it.
+    /// Whether its task is still at the source.
     pub fn is_at_source(&self) -> bool {
         self.state < MoveState::Vacated
     }
 
-    /// Whether room is booked for it: from the start until its new place counts by itself.
+    /// Whether resources are booked for it: from the beginning until the new placement itself is counted.
     pub fn holds_booking(&self) -> bool {
         self.state < MoveState::Placed
     }
 }
 
-/// One value of the record.
+/// One part of the record.
 #[derive(Debug, Default)]
 struct Part {
     bytes: usize,
-    /// What it names changed since it was last written.
+    /// Whether its moves have changed since it was last written.
     unwritten: bool,
 }
 
-/// The open moves.
+/// The open moves, and the sizes of the record's parts.
 #[derive(Debug, Default)]
 pub struct Moves {
     open: BTreeMap<TaskKey, Move>,
@@ -125,43 +125,44 @@
 }
 
 impl Moves {
-    /// The open moves.
+    /// Iterates over the open moves.
     pub fn open(&self) -> impl Iterator<Item = &Move> {
         self.open.values()
     }
 
-    /// How many are open.
+    /// Number of open moves.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// Whether none is open.
+    /// Whether no move is open.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
 
-    /// The move of a task, if it has one.
+    /// Returns the open move of a task, if it has one.
     pub fn get(&self, key: &TaskKey) -> Option<&Move> {
         self.open.get(key)
     }
 
-    /// Values of the record that must be written.
+    /// Returns the parts of the record that must be written.
     pub fn unwritten_parts(&self) -> Vec<usize> {
         let parts = self.parts.iter().enumerate();
         parts.filter(|(_, part)| part.unwritten).map(|(number, _)| number).collect()
     }
 
-    /// Notes whether a value must be written.
+    /// Sets whether a part must be written.
     pub fn set_unwritten(&mut self, part: usize, unwritten: bool) {
         self.part_mut(part).unwritten = unwritten;
     }
 
-    /// Moves that a value names.
+    /// Iterates over the moves that a part holds.
     pub fn in_part(&self, part: usize) -> impl Iterator<Item = &Move> {
         self.open.values().filter(move |open| open.part == part)
     }
 
-    /// The first value with room for so many bytes, each holding so many; none if all are full.
+    /// Returns the first part with space for `bytes`, where each part holds at most `value_bytes`; none if all
+    /// are full.
     pub fn part_with_space(&self, bytes: usize, value_bytes: usize) -> Option<usize> {
         let fits = |part: &usize| self.parts.get(*part).map_or(0, |part| part.bytes) + bytes <= value_bytes;
         (0..MAX_PARTS).find(fits)
@@ -174,7 +175,7 @@
         &mut self.parts[part]
     }
 
-    /// Begins a move, or takes one over from an earlier leader.
+    /// Adds a move that begins, or that is taken over from an earlier leader.
     pub fn begin(&mut self, new: Move) {
         let bytes = new.record_bytes();
         let part = self.part_mut(new.part);
@@ -183,7 +184,7 @@
         self.open.insert(new.key.clone(), new);
     }
 
-    /// Brings a move from one of `states` to `next`; false if it is in none of them.
+    /// Advances a move from one of `states` to `next`; returns false if it is in none of them.
     pub fn advance(&mut self, now: Instant, key: &TaskKey, states: &[MoveState], next: MoveState) -> bool {
         let Some(open) = self.open.get_mut(key).filter(|open| states.contains(&open.state)) else { return false };
         open.state = next;
@@ -191,7 +192,7 @@
         true
     }
 
-    /// Ends a move.
+    /// Removes a move that has ended.
     pub fn end(&mut self, key: &TaskKey) -> Option<Move> {
         let ended = self.open.remove(key)?;
         let bytes = ended.record_bytes();
@@ -201,25 +202,25 @@
         Some(ended)
     }
 
-    /// Moves that have been in one state for too long.
-    pub fn timed_out(&self, now: Instant, longest: Duration) -> Vec<TaskKey> {
-        let late = |open: &&Move| now.saturating_duration_since(open.since) >= longest;
+    /// Returns the moves that have been in their state for at least `timeout`.
+    pub fn timed_out(&self, now: Instant, timeout: Duration) -> Vec<TaskKey> {
+        let late = |open: &&Move| now.saturating_duration_since(open.since) >= timeout;
         self.open.values().filter(late).map(|open| open.key.clone()).collect()
     }
 
-    /// Whether a move has been in this state for longer.
-    pub fn any_in_state_longer(&self, now: Instant, state: MoveState, than: Duration) -> bool {
-        let late = |open: &Move| open.state == state && now.saturating_duration_since(open.since) > than;
+    /// Whether any move has been in this state for longer than `limit`.
+    pub fn any_in_state_longer(&self, now: Instant, state: MoveState, limit: Duration) -> bool {
+        let late = |open: &Move| open.state == state && now.saturating_duration_since(open.since) > limit;
         self.open.values().any(late)
     }
 
-    /// Moves to a machine that have not placed their task yet.
+    /// Returns the moves to a machine whose task is not placed there yet.
     pub fn unplaced_moves_to(&self, machine: &Name) -> Vec<TaskKey> {
-        let bound = |open: &&Move| open.to == *machine && open.holds_booking();
-        self.open.values().filter(bound).map(|open| open.key.clone()).collect()
+        let unplaced = |open: &&Move| open.to == *machine && open.holds_booking();
+        self.open.values().filter(unplaced).map(|open| open.key.clone()).collect()
     }
 
-    /// Moves of one job.
+    /// Returns the moves of one job's tasks.
     pub fn of_job(&self, job: &Name) -> Vec<TaskKey> {
         let tasks = (job.clone(), 0)..=(job.clone(), u32::MAX);
         self.open.range(tasks).map(|(key, _)| key.clone()).collect()
--- a/crates/balance/src/planner.rs
+++ b/crates/balance/src/planner.rs
@@ -1,5 +1,5 @@
-//! Which running tasks should move: from the machines that are used the most to those that are used
-//! the least, one at a time, while a move gains more expected time than it costs.
+//! Decides which running task to move next: from the most to the least utilized machines, one task at a
+//! time, as long as a move's expected gain exceeds its cost.
 
 use crate::cost::{CostModel, MoveCost, MoveEndpoint};
 use crate::load::LoadModel;
@@ -9,79 +9,82 @@
 use crate::settings::Settings;
 use crate::{Name, TaskKey};
 
-/// Machines looked at on either side for one move: the ends of the order by use, not the fleet.
-const SOURCES: usize = 8;
-const DESTINATIONS: usize = 8;
+/// Number of the most utilized machines that are considered as sources of one move, to avoid a scan of the fleet.
+const SOURCES_CONSIDERED: usize = 8;
+/// Number of the least utilized machines that are considered as destinations of one move.
+const DESTINATIONS_CONSIDERED: usize = 8;
 
-/// A task that may be moved, as the core sees it.
+/// A task that may be moved, as reported by the core.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Candidate {
     /// The task.
     pub key: TaskKey,
-    /// Its attempt.
+    /// Its current attempt.
     pub attempt: u64,
-    /// What it needs.
+    /// Resources that it requests.
     pub need: Resources,
-    /// Run time that it has left.
+    /// Its remaining run time.
     pub remaining_s: f64,
-    /// Work that would run again.
+    /// Run time that would be lost and run again.
     pub lost_work_s: f64,
-    /// From the order to stop to the proof that it is gone.
+    /// Time from the stop order until the task is proven gone.
     pub stop_s: f64,
 }
 
-/// What the planner asks the core about a few machines.
+/// The planner's queries to the core about single machines.
 pub trait FleetView {
-    /// Tasks on the machine that may be moved, at most one for each job: those of a job are alike.
+    /// Returns the tasks on the machine that may be moved, at most one per job, since tasks of a job are
+    /// alike.
     fn candidates(&self, machine: &Name) -> Vec<Candidate>;
-    /// Run time that all tasks on the machine have left together.
+    /// Returns the total remaining run time of all tasks on the machine.
     fn remaining_s(&self, machine: &Name) -> f64;
-    /// Whether the task may run on the machine, and there is room that nobody has claimed or booked.
+    /// Whether the task may run on the machine, and fits into resources that are neither claimed nor booked.
     fn fits(&self, task: &Candidate, machine: &Name) -> bool;
-    /// How long its image takes to be there.
+    /// Returns the time that fetching the task's image to the machine takes.
     fn fetch_s(&self, task: &Candidate, machine: &Name) -> f64;
 }
 
-/// A move that pays.
+/// A move with a sufficient expected gain.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Proposal {
     /// The task to move.
     pub task: Candidate,
-    /// From where.
+    /// The source machine.
     pub from: Name,
-    /// To where.
+    /// The destination machine.
     pub to: Name,
-    /// Expected seconds gained, cost taken off.
+    /// Expected net gain, after the cost of the move.
     pub gain_s: f64,
 }
 
-/// What planning reads.
+/// The inputs of planning.
 pub struct Planner<'a> {
     /// Load of the machines.
     pub load: &'a LoadModel,
-    /// Moves that are open.
+    /// Moves that are already open.
     pub moves: &'a Moves,
-    /// Budget and rests.
+    /// Budget of moves and cooldowns of machines.
     pub rate_limit: &'a MoveRateLimiter,
     /// The operators' settings.
     pub settings: &'a Settings,
 }
 
 impl Planner<'_> {
-    /// The next move, if one pays: from the most used machine that has one.
+    /// Returns the next move worth its cost, if there is one: the best of the most utilized machine that has
+    /// any.
     pub fn next(&self, view: &impl FleetView) -> Option<Proposal> {
-        let destinations = self.load.least_loaded(DESTINATIONS);
-        let least_loaded =
+        let destinations = self.load.least_loaded(DESTINATIONS_CONSIDERED);
+        let lowest_utilization =
             destinations.iter().filter_map(|name| self.load.utilization(name)).fold(f64::INFINITY, f64::min);
-        for from in self.load.most_loaded(SOURCES) {
-            let used = self.load.utilization(&from)?;
-            if used - least_loaded < self.settings.utilization_gap {
+        for source in self.load.most_loaded(SOURCES_CONSIDERED) {
+            let utilization = self.load.utilization(&source)?;
+            if utilization - lowest_utilization < self.settings.utilization_gap {
                 return None;
             }
-            if !self.rate_limit.allows(&from, MoveRole::Source) {
+            if !self.rate_limit.allows(&source, MoveRole::Source) {
                 continue;
             }
-            let best = self.best_from(&from, used, &destinations, view);
+            let best = self.best_from(&source, utilization, &destinations, view);
             if best.is_some() {
                 return best;
             }
@@ -89,7 +92,14 @@
         None
     }
 
-    fn best_from(&self, from: &Name, used: f64, to: &[Name], view: &impl FleetView) -> Option<Proposal> {
+    /// Returns the move from this source with the largest gain.
+    fn best_from(
+        &self,
+        from: &Name,
+        utilization: f64,
+        destinations: &[Name],
+        view: &impl FleetView,
+    ) -> Option<Proposal> {
         let cost_model = CostModel::new(self.settings);
         let remaining_s = view.remaining_s(from);
         let mut best: Option<Proposal> = None;
@@ -97,13 +107,10 @@
             if self.moves.get(&task.key).is_some() {
                 continue;
             }
-            let share = self.load.share_of(from, task.need);
-            let source = MoveEndpoint {
-                utilization: used,
-                task_share: share,
-                others_remaining_s: (remaining_s - task.remaining_s).max(0.0),
-            };
-            for machine in to.iter().filter(|machine| *machine != from) {
+            let task_share = self.load.share_of(from, task.need);
+            let source =
+                MoveEndpoint { utilization, task_share, others_remaining_s: (remaining_s - task.remaining_s).max(0.0) };
+            for machine in destinations.iter().filter(|machine| *machine != from) {
                 let Some(gain_s) = self.gain_s(&cost_model, &task, &source, machine, view) else { continue };
                 if best.as_ref().is_none_or(|best| gain_s > best.gain_s) {
                     best = Some(Proposal { task: task.clone(), from: from.clone(), to: machine.clone(), gain_s });
@@ -113,7 +120,8 @@
         best
     }
 
-    /// What the move gains, if it pays: by more than the hysteresis, and by a multiple of its cost.
+    /// Returns the net gain of a move, if the machine may be its destination and the gain reaches both the
+    /// minimum and the required multiple of the cost.
     fn gain_s(
         &self,
         cost_model: &CostModel,
@@ -122,20 +130,20 @@
         machine: &Name,
         view: &impl FleetView,
     ) -> Option<f64> {
-        let share = self.load.share_of(machine, task.need);
-        let used = self.load.utilization(machine)? + share;
-        let apart = source.utilization - (used - share) >= self.settings.utilization_gap;
-        if !apart || !self.rate_limit.allows(machine, MoveRole::Destination) || !view.fits(task, machine) {
+        let task_share = self.load.share_of(machine, task.need);
+        let utilization = self.load.utilization(machine)? + task_share;
+        let gap_suffices = source.utilization - (utilization - task_share) >= self.settings.utilization_gap;
+        if !gap_suffices || !self.rate_limit.allows(machine, MoveRole::Destination) || !view.fits(task, machine) {
             return None;
         }
         let fetch_s = view.fetch_s(task, machine);
         let cost =
             MoveCost { remaining_s: task.remaining_s, lost_work_s: task.lost_work_s, stop_s: task.stop_s, fetch_s };
-        let side = MoveEndpoint { utilization: used, task_share: share, others_remaining_s: view.remaining_s(machine) };
-        let gain_s = cost_model.net_gain_s(&cost, source, &side);
-        let least = self.settings.min_gain.as_secs_f64();
-        // The gain has its cost taken off already.
-        let pays = gain_s >= least && gain_s + cost.total_s() >= cost.total_s() * self.settings.gain_ratio;
-        pays.then_some(gain_s)
+        let destination = MoveEndpoint { utilization, task_share, others_remaining_s: view.remaining_s(machine) };
+        let gain_s = cost_model.net_gain_s(&cost, source, &destination);
+        let min_gain_s = self.settings.min_gain.as_secs_f64();
+        // `gain_s` is net of the cost, so the cost is added back for the ratio.
+        let worthwhile = gain_s >= min_gain_s && gain_s + cost.total_s() >= cost.total_s() * self.settings.gain_ratio;
+        worthwhile.then_some(gain_s)
     }
 }
--- a/crates/balance/src/rate_limit.rs
+++ b/crates/balance/src/rate_limit.rs
@@ -1,7 +1,7 @@
-//! How often moves may begin: a budget that fills with time, and machines that rest.
+//! Limits the rate of moves: a budget that grows with time, and a cooldown for machines.
 //!
-//! Guards against oscillation: a machine that gave a task takes none for a while, and the reverse, so
-//! that work is not passed to and fro while the load model settles.
+//! The cooldown prevents oscillation: a machine that was the source of a move is no destination for a
+//! while, and the reverse, so that tasks don't move back and forth while the load model settles.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,11 +9,11 @@
 use crate::Name;
 use crate::settings::Settings;
 
-/// Seconds of the budget that may be saved up.
-const SAVED_S: f64 = 2.0;
+/// The budget accumulates at most the moves of this many seconds.
+const MAX_BURST_S: f64 = 2.0;
 const MINUTE_S: f64 = 60.0;
 
-/// In which direction a machine took part in a move.
+/// The role of a machine in a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MoveRole {
     /// A task left it.
@@ -22,44 +22,45 @@
     Destination,
 }
 
-/// The budget of moves and the machines that rest.
+/// The budget of moves and the machines in cooldown.
 #[derive(Debug, Default)]
 pub struct MoveRateLimiter {
     budget: f64,
-    filled: Option<Instant>,
-    resting: BTreeMap<Name, (MoveRole, Instant)>,
+    filled_at: Option<Instant>,
+    /// The last role of each machine in cooldown, and when it had it.
+    cooling_down: BTreeMap<Name, (MoveRole, Instant)>,
 }
 
 impl MoveRateLimiter {
-    /// Lets the budget grow for a fleet of so many machines, and ends rests that are over.
+    /// Grows the budget for a fleet of this many machines, and ends expired cooldowns.
     pub fn tick(&mut self, now: Instant, machines: usize, settings: &Settings) {
         let rate = settings.moves_per_machine * machines as f64 / MINUTE_S;
-        let since = self.filled.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        self.filled = Some(now);
-        let most = if rate > 0.0 { (rate * SAVED_S).max(1.0) } else { 0.0 };
-        self.budget = (self.budget + rate * since.as_secs_f64()).min(most);
-        self.resting.retain(|_, (_, at)| now.saturating_duration_since(*at) < settings.cooldown);
+        let elapsed = self.filled_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
+        self.filled_at = Some(now);
+        let max_budget = if rate > 0.0 { (rate * MAX_BURST_S).max(1.0) } else { 0.0 };
+        self.budget = (self.budget + rate * elapsed.as_secs_f64()).min(max_budget);
+        self.cooling_down.retain(|_, (_, at)| now.saturating_duration_since(*at) < settings.cooldown);
     }
 
-    /// Moves that may begin now.
+    /// Number of moves that may begin now.
     pub fn available(&self) -> usize {
         self.budget as usize
     }
 
-    /// Whether a machine may take part in this direction.
-    pub fn allows(&self, machine: &Name, direction: MoveRole) -> bool {
-        self.resting.get(machine).is_none_or(|(last, _)| *last == direction)
+    /// Whether a machine may take part in a move in this role.
+    pub fn allows(&self, machine: &Name, role: MoveRole) -> bool {
+        self.cooling_down.get(machine).is_none_or(|(last_role, _)| *last_role == role)
     }
 
-    /// A move begins.
-    pub fn move_begun(&mut self, now: Instant, from: &Name, to: &Name) {
+    /// Charges the budget for a move that begins, and starts the cooldown of both machines.
+    pub fn move_begun(&mut self, now: Instant, source: &Name, destination: &Name) {
         self.budget = (self.budget - 1.0).max(0.0);
-        self.resting.insert(from.clone(), (MoveRole::Source, now));
-        self.resting.insert(to.clone(), (MoveRole::Destination, now));
+        self.cooling_down.insert(source.clone(), (MoveRole::Source, now));
+        self.cooling_down.insert(destination.clone(), (MoveRole::Destination, now));
     }
 
-    /// A machine is gone.
+    /// Drops the cooldown of a machine that is gone.
     pub fn forget_machine(&mut self, machine: &Name) {
-        self.resting.remove(machine);
+        self.cooling_down.remove(machine);
     }
 }
--- a/crates/balance/src/resources.rs
+++ b/crates/balance/src/resources.rs
@@ -1,96 +1,96 @@
-//! Amounts of processors, GPUs and memory.
+//! Amounts of CPUs, GPUs and memory.
 
 use rushyoke_wire::job::JobSpec;
 
-/// Amounts compare with this slack, since sums of decimals are not exact.
+/// Tolerance for comparing amounts, since sums of decimal fractions are not exact.
 const TOLERANCE: f64 = 1e-6;
-/// The most times that one amount is said to fit into another.
-const MOST_TIMES: f64 = 1e6;
+/// Upper bound of [`Resources::fit_count`], reached when a request asks for almost nothing.
+const MAX_FIT_COUNT: f64 = 1e6;
 
-/// What a task needs, or a machine has.
+/// The resources that a task requests or that a machine provides.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
-    /// Processors.
+    /// Number of CPUs.
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     pub gpus: f64,
     /// Memory in gigabytes.
     pub memory_gb: f64,
 }
 
 impl Resources {
-    /// The slack with which amounts compare.
+    /// Tolerance for comparing amounts, since sums of decimal fractions are not exact.
     pub const TOLERANCE: f64 = TOLERANCE;
 
-    /// What a task of the job needs.
+    /// Returns the resources that one task of the job requests.
     pub fn of(spec: &JobSpec) -> Resources {
         Resources { cpus: spec.cpus, gpus: spec.gpus, memory_gb: spec.memory_gb }
     }
 
-    /// Adds to each amount.
+    /// Adds `other` to each amount in place.
     pub fn add(&mut self, other: Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
         self.memory_gb += other.memory_gb;
     }
 
-    /// Takes from each amount.
+    /// Subtracts `other` from each amount in place.
     pub fn sub(&mut self, other: Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.memory_gb -= other.memory_gb;
     }
 
-    /// Each amount so many times.
-    pub fn scaled(self, times: f64) -> Resources {
-        Resources { cpus: self.cpus * times, gpus: self.gpus * times, memory_gb: self.memory_gb * times }
+    /// Returns each amount multiplied by `factor`.
+    pub fn scaled(self, factor: f64) -> Resources {
+        Resources { cpus: self.cpus * factor, gpus: self.gpus * factor, memory_gb: self.memory_gb * factor }
     }
 
-    /// The sum of both.
+    /// Returns the sum of both.
     pub fn plus(mut self, other: Resources) -> Resources {
         self.add(other);
         self
     }
 
-    /// The difference of both.
+    /// Returns the difference of both; amounts may be negative.
     pub fn minus(mut self, other: Resources) -> Resources {
         self.sub(other);
         self
     }
 
-    /// Nothing of anything.
+    /// Whether every amount is zero or negative, within the tolerance.
     pub fn is_zero(&self) -> bool {
         self.cpus <= TOLERANCE && self.gpus <= TOLERANCE && self.memory_gb <= TOLERANCE
     }
 
-    /// Grows to hold as much of each as `other` does.
+    /// Raises each amount to at least that of `other`.
     pub fn expand_to(&mut self, other: Resources) {
         self.cpus = self.cpus.max(other.cpus);
         self.gpus = self.gpus.max(other.gpus);
         self.memory_gb = self.memory_gb.max(other.memory_gb);
     }
 
-    /// Whether `need` fits.
+    /// Whether a request of `need` fits, within the tolerance.
     pub fn can_fit(&self, need: Resources) -> bool {
         need.cpus <= self.cpus + TOLERANCE
             && need.gpus <= self.gpus + TOLERANCE
             && need.memory_gb <= self.memory_gb + TOLERANCE
     }
 
-    /// How many times `need` fits.
+    /// Returns how many requests of `need` fit.
     pub fn fit_count(&self, need: Resources) -> u32 {
-        let part = |have: f64, want: f64| {
-            if want > 0.0 { (have + TOLERANCE) / want } else { f64::INFINITY }
+        let count = |available: f64, requested: f64| {
+            if requested > 0.0 { (available + TOLERANCE) / requested } else { f64::INFINITY }
         };
-        let times =
-            part(self.cpus, need.cpus).min(part(self.gpus, need.gpus)).min(part(self.memory_gb, need.memory_gb));
-        times.clamp(0.0, MOST_TIMES) as u32
+        let smallest =
+            count(self.cpus, need.cpus).min(count(self.gpus, need.gpus)).min(count(self.memory_gb, need.memory_gb));
+        smallest.clamp(0.0, MAX_FIT_COUNT) as u32
     }
 
-    /// The largest share that this is of `total`, over the resources that `total` has: the dominant
-    /// share of dominant resource fairness.
+    /// Returns the largest share of `total` over all resources that `total` has: the dominant share of
+    /// dominant resource fairness.
     pub fn dominant_share(&self, total: Resources) -> f64 {
-        let part = |have: f64, all: f64| if all > TOLERANCE { have / all } else { 0.0 };
-        part(self.cpus, total.cpus).max(part(self.gpus, total.gpus)).max(part(self.memory_gb, total.memory_gb))
+        let share = |amount: f64, whole: f64| if whole > TOLERANCE { amount / whole } else { 0.0 };
+        share(self.cpus, total.cpus).max(share(self.gpus, total.gpus)).max(share(self.memory_gb, total.memory_gb))
     }
 }
--- a/crates/balance/src/settings.rs
+++ b/crates/balance/src/settings.rs
@@ -1,37 +1,37 @@
-//! What operators set for load spreading, with units, defaults and checks.
+//! Settings of load balancing, with units, defaults and range checks.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The operators' settings; all times are expected times, all shares are parts of one.
+/// The operators' settings. Shares are fractions of one; gains and costs are expected times.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// By what share of its run time a task is expected to take longer on a full machine than on an
-    /// empty one.
+    /// Additional run time of a task on a full machine compared with an empty one, as a share of its run
+    /// time.
     pub contention_slowdown: f64,
-    /// What a running service counts as having left to run, when the crowding of others is priced.
+    /// Remaining run time assumed for a running service when contention is priced.
     pub service_horizon: Duration,
-    /// Expected time that a move must gain, beyond its cost.
+    /// Minimum expected net gain of a move.
     pub min_gain: Duration,
-    /// How many times its cost a move must gain.
+    /// Minimum ratio of a move's gain to its cost.
     pub gain_ratio: f64,
-    /// By how much more the source must be in use than the destination.
+    /// Minimum difference in utilization between the source and the destination of a move.
     pub utilization_gap: f64,
-    /// Moves begun each minute, for each machine of the fleet.
+    /// Moves that may begin each minute, per machine of the fleet.
     pub moves_per_machine: f64,
-    /// After it took part in a move a machine does not take part in the other direction for so long.
+    /// Time after a move during which a machine does not take the opposite role in another one.
     pub cooldown: Duration,
-    /// How long room stays booked at a destination.
+    /// Time allowed for a step of a move; a move that stays in one state for twice as long loses its booking.
     pub booking_timeout: Duration,
-    /// A task that saves no progress is moved only within this time after its start.
+    /// A task without checkpoints is moved only within this time after its start.
     pub max_age_without_checkpoint: Duration,
-    /// Share of the fleet that stays free from teams which already have more than their fair share.
+    /// Share of the fleet that teams above their fair share must leave free.
     pub free_share: f64,
     /// The same for tasks that are expected to run for longer than `short_run`.
     pub free_share_long_runs: f64,
-    /// For how long a job is held back at the most for that.
+    /// Longest time that a job is held back to leave resources free.
     pub max_hold: Duration,
-    /// Tasks expected to run for longer leave more of the fleet free.
+    /// Expected run time up to which a task counts as short; longer ones must leave more of the fleet free.
     pub short_run: Duration,
     /// Classes of jobs that are never moved.
     pub protected_classes: BTreeSet<String>,
@@ -58,28 +58,28 @@
     }
 }
 
-/// The longest that a job may be held back: a job that waits for long while there is room would
-/// break what users are promised.
-pub const LONGEST_HOLD: Duration = Duration::from_secs(60);
+/// Upper bound of `max_hold`: holding jobs back for longer while resources are free would break the promise
+/// to users.
+pub const MAX_HOLD: Duration = Duration::from_secs(60);
 
-/// A setting that makes no sense.
+/// A setting that is out of range.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("balance.{setting}: must be {low} to {high}{unit}")]
 pub struct SettingsError {
-    /// The setting's name in the operators' file.
+    /// The setting's key in the operators' file.
     pub setting: &'static str,
-    /// The least that it may be.
+    /// The smallest allowed value.
     pub low: f64,
-    /// The most that it may be.
+    /// The largest allowed value.
     pub high: f64,
-    /// What it counts.
+    /// The unit of the value, with a leading space, or empty.
     pub unit: &'static str,
 }
 
 impl Settings {
-    /// Checks every setting; the error names the first that makes no sense.
+    /// Checks the range of every setting; the error names the first that is out of range.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let shares = [
+        let numbers = [
             ("crowding_share", self.contention_slowdown, 0.0, 10.0),
             ("gain_ratio", self.gain_ratio, 1.0, 100.0),
             ("use_gap", self.utilization_gap, 0.01, 1.0),
@@ -87,19 +87,19 @@
             ("free_share", self.free_share, 0.0, 0.5),
             ("free_share_long", self.free_share_long_runs, 0.0, 0.9),
         ];
-        for (setting, value, low, high) in shares {
+        for (setting, value, low, high) in numbers {
             in_range(setting, value, low, high, "")?;
         }
-        let times = [
+        let durations = [
             ("service_horizon_s", self.service_horizon, 0.0, 3600.0),
             ("least_gain_s", self.min_gain, 0.0, 3600.0),
             ("cooldown_s", self.cooldown, 1.0, 3600.0),
             ("booking_s", self.booking_timeout, 5.0, 300.0),
             ("fresh_s", self.max_age_without_checkpoint, 0.0, 3600.0),
-            ("hold_s", self.max_hold, 0.0, LONGEST_HOLD.as_secs_f64()),
+            ("hold_s", self.max_hold, 0.0, MAX_HOLD.as_secs_f64()),
             ("borrow_s", self.short_run, 1.0, 86_400.0),
         ];
-        for (setting, value, low, high) in times {
+        for (setting, value, low, high) in durations {
             in_range(setting, value.as_secs_f64(), low, high, " seconds")?;
         }
         Ok(())
--- a/crates/balance/src/shares.rs
+++ b/crates/balance/src/shares.rs
@@ -1,10 +1,10 @@
-//! Fair shares of what is free, after dominant resource fairness: a team's share is the largest that
-//! it has of any resource, and teams stand to each other as their guarantees do.
+//! Fair shares of the free resources, following dominant resource fairness: a team's share is its largest
+//! share of any single resource, and teams are weighted by their guarantees.
 //!
-//! Within its guarantee a team is never asked. Beyond it, a team that has more than its fair share
-//! leaves a part of the fleet free for others that may come, and a larger one with tasks that are not
-//! soon over. A job is held back for a stated time at the most: users are promised that nothing waits
-//! for long while there is room.
+//! Within its guarantee a team is never restricted. Beyond it, a team that has more than its fair share
+//! must leave a part of the fleet free for other teams, and a larger part for tasks that run long. A job is
+//! held back for a limited time only: users are promised that nothing waits for long while resources are
+//! free.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -14,19 +14,19 @@
 use crate::resources::Resources;
 use crate::settings::Settings;
 
-/// Weight of a team without a guarantee, as a part of the mean guarantee of those that have one.
-const LEAST_WEIGHT: f64 = 0.1;
+/// Minimum weight of a team, relative to the mean guarantee; it applies to teams without a guarantee.
+const MIN_RELATIVE_WEIGHT: f64 = 0.1;
 
-/// What a team asks for: one more task of a job.
+/// A request to place one more task of a job, possibly beyond its team's guarantee.
 #[derive(Clone, Debug)]
 pub struct BorrowRequest<'a> {
     /// The job.
     pub job: &'a Name,
-    /// Its team.
+    /// The job's team.
     pub team: &'a str,
-    /// What the task needs.
+    /// Resources that the task requests.
     pub need: Resources,
-    /// How long it is expected to run.
+    /// Expected run time.
     pub run_s: f64,
 }
 
@@ -35,17 +35,18 @@
     guarantee: Resources,
 }
 
-/// Fair shares, and the jobs that are held back for them.
+/// Fair shares of teams, and the jobs that are held back to preserve them.
 #[derive(Debug, Default)]
 pub struct FairShares {
     teams: BTreeMap<Name, Team>,
-    held: BTreeMap<Name, Instant>,
-    /// Jobs that were ever held back.
-    held_count: u64,
+    /// Jobs that are held back now, and since when.
+    held_since: BTreeMap<Name, Instant>,
+    /// Number of jobs that were ever held back.
+    total_held: u64,
 }
 
 impl FairShares {
-    /// Teams with their guarantees.
+    /// Creates the shares of teams with these guarantees.
     pub fn new(teams: impl IntoIterator<Item = (Name, Resources)>) -> FairShares {
         let teams = teams.into_iter().map(|(name, guarantee)| (name, Team { guarantee }));
         FairShares { teams: teams.collect(), ..FairShares::default() }
@@ -53,70 +54,74 @@
 
     fn weight(&self, team: &str) -> f64 {
         let guarantee = |team: &Team| team.guarantee.cpus.max(team.guarantee.gpus);
-        let all: f64 = self.teams.values().map(guarantee).sum();
-        let mean = all / self.teams.len().max(1) as f64;
-        let least = if mean > 0.0 { mean * LEAST_WEIGHT } else { 1.0 };
-        self.teams.get(team).map_or(least, |team| guarantee(team).max(least))
+        let total: f64 = self.teams.values().map(guarantee).sum();
+        let mean = total / self.teams.len().max(1) as f64;
+        let min_weight = if mean > 0.0 { mean * MIN_RELATIVE_WEIGHT } else { 1.0 };
+        self.teams.get(team).map_or(min_weight, |team| guarantee(team).max(min_weight))
     }
 
-    /// The share of the fleet that is fair for a team.
+    /// Returns the fair share of the fleet for a team.
     pub fn fair_share(&self, team: &str) -> f64 {
-        let all: f64 = self.teams.keys().map(|name| self.weight(name)).sum();
-        if all > 0.0 { (self.weight(team) / all).min(1.0) } else { 1.0 }
+        let total: f64 = self.teams.keys().map(|name| self.weight(name)).sum();
+        if total > 0.0 { (self.weight(team) / total).min(1.0) } else { 1.0 }
     }
 
-    /// The team's dominant share of the fleet, with `more` added.
-    pub fn dominant_share(&self, load: &LoadModel, team: &str, more: Resources) -> f64 {
-        load.team(team).all().plus(more).dominant_share(load.total())
+    /// Returns the team's dominant share of the fleet if it had `additional` resources too.
+    pub fn dominant_share(&self, load: &LoadModel, team: &str, additional: Resources) -> f64 {
+        load.team(team).all().plus(additional).dominant_share(load.total())
     }
 
-    /// How far a team is above (more than 1) or below its fair share: teams with less go first.
+    /// Returns the team's dominant share divided by its fair share: above 1 the team has more than its fair
+    /// share. Teams with lower values are served first.
     pub fn weighted_share(&self, load: &LoadModel, team: &str) -> f64 {
         self.dominant_share(load, team, Resources::default()) / self.fair_share(team).max(f64::EPSILON)
     }
 
-    fn is_within_guarantee(&self, load: &LoadModel, ask: &BorrowRequest) -> bool {
-        let Some(team) = self.teams.get(ask.team) else { return false };
-        let after = load.team(ask.team).all().plus(ask.need);
+    fn is_within_guarantee(&self, load: &LoadModel, request: &BorrowRequest) -> bool {
+        let Some(team) = self.teams.get(request.team) else { return false };
+        let after = load.team(request.team).all().plus(request.need);
         let limit = Resources { memory_gb: f64::INFINITY, ..team.guarantee };
         limit.can_fit(after)
     }
 
-    /// Whether one more task may be placed now. One that may not is tried again; after the longest
-    /// hold it passes.
-    pub fn may_place(&mut self, now: Instant, load: &LoadModel, settings: &Settings, ask: &BorrowRequest) -> bool {
-        let allowed = self.is_within_guarantee(load, ask) || self.is_fair(load, settings, ask);
+    /// Whether one more task may be placed now. A job that is refused is held back and may ask again; after
+    /// `max_hold` it is allowed in any case.
+    pub fn may_place(&mut self, now: Instant, load: &LoadModel, settings: &Settings, request: &BorrowRequest) -> bool {
+        let allowed = self.is_within_guarantee(load, request) || self.is_fair(load, settings, request);
         if allowed {
-            self.held.remove(ask.job);
+            self.held_since.remove(request.job);
             return true;
         }
-        let held_count = &mut self.held_count;
-        let since = *self.held.entry(ask.job.clone()).or_insert_with(|| {
-            *held_count += 1;
+        let total_held = &mut self.total_held;
+        let since = *self.held_since.entry(request.job.clone()).or_insert_with(|| {
+            *total_held += 1;
             now
         });
         now.saturating_duration_since(since) >= settings.max_hold
     }
 
-    fn is_fair(&self, load: &LoadModel, settings: &Settings, ask: &BorrowRequest) -> bool {
-        if self.dominant_share(load, ask.team, ask.need) <= self.fair_share(ask.team) {
+    fn is_fair(&self, load: &LoadModel, settings: &Settings, request: &BorrowRequest) -> bool {
+        if self.dominant_share(load, request.team, request.need) <= self.fair_share(request.team) {
             return true;
         }
         let total = load.total();
-        let left = load.free().minus(ask.need);
-        let soon_over = ask.run_s <= settings.short_run.as_secs_f64();
-        let kept = total.scaled(if soon_over { settings.free_share } else { settings.free_share_long_runs });
-        let wanted = [(ask.need.cpus, left.cpus, kept.cpus), (ask.need.gpus, left.gpus, kept.gpus)];
-        wanted.iter().all(|(need, left, kept)| *need <= 0.0 || left >= kept)
+        let free_after = load.free().minus(request.need);
+        let is_short = request.run_s <= settings.short_run.as_secs_f64();
+        let keep_free = total.scaled(if is_short { settings.free_share } else { settings.free_share_long_runs });
+        let requested = [
+            (request.need.cpus, free_after.cpus, keep_free.cpus),
+            (request.need.gpus, free_after.gpus, keep_free.gpus),
+        ];
+        requested.iter().all(|(need, free_after, keep_free)| *need <= 0.0 || free_after >= keep_free)
     }
 
-    /// A job waits no more.
+    /// Forgets a job that no longer waits.
     pub fn forget_job(&mut self, job: &Name) {
-        self.held.remove(job);
+        self.held_since.remove(job);
     }
 
-    /// Jobs held back now, and ever.
+    /// Returns the number of jobs held back now, and of all that ever were.
     pub fn held_jobs(&self) -> (usize, u64) {
-        (self.held.len(), self.held_count)
+        (self.held_since.len(), self.total_held)
     }
 }
