--- a/crates/failover/src/evidence.rs
+++ b/crates/failover/src/evidence.rs
@@ -1,100 +1,101 @@
-//! What is seen of zones, and the evidence on which their state changes.
+//! Observations of zones, and the evidence on which their state changes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is seen of a zone's machines at one moment.
+/// An observation of a zone's machines at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ZoneView {
     /// Machines that came up and are not known to be gone.
     pub machines: usize,
     /// Machines whose reports are overdue.
     pub overdue: usize,
-    /// Machines that did not answer their last direct call, whatever they report.
+    /// Machines that did not respond to their last direct call, whether or not they report.
     pub unreachable: usize,
-    /// Machines that are overdue, unreachable, or answer calls while their reports do not come.
+    /// Machines that are overdue, unreachable, or respond to calls while their reports do not arrive.
     pub out_of_contact: usize,
-    /// Machines that the cloud does not take back.
+    /// Machines that the cloud does not reclaim.
     pub ordinary: usize,
-    /// Ordinary machines that are out.
+    /// Ordinary machines that are out of contact.
     pub ordinary_out_of_contact: usize,
-    /// Machines whose reports come in time and are answered.
+    /// Machines whose reports arrive in time and get responses.
     pub in_time: usize,
-    /// Tasks placed on machines that are out.
+    /// Tasks placed on machines that are out of contact.
     pub tasks_out_of_contact: usize,
-    /// CPUs of the machines that are not out.
+    /// CPUs of the machines that are in contact.
     pub cpus: f64,
     /// CPUs of the largest machine.
     pub largest_machine_cpus: f64,
 }
 
 impl ZoneView {
-    /// Share of the machines that is out of reach, or of the ordinary ones if that is less: the cloud takes
-    /// spot machines back in waves, which is no loss of their zone.
+    /// Returns the share of the machines that is out of contact, or of the ordinary ones if that is smaller: the
+    /// cloud reclaims spot machines in waves, which does not mean that their zone is lost.
     pub fn out_of_contact_share(&self) -> f64 {
         let of_all = share(self.out_of_contact, self.machines);
         if self.ordinary == 0 { of_all } else { of_all.min(share(self.ordinary_out_of_contact, self.ordinary)) }
     }
 }
 
-/// A part of a whole; of nothing, none.
-pub(crate) fn share(part: usize, of: usize) -> f64 {
-    part as f64 / of.max(1) as f64
+/// Returns `part` as a share of `whole`, or 0 if both are 0.
+pub(crate) fn share(part: usize, whole: usize) -> f64 {
+    part as f64 / whole.max(1) as f64
 }
 
-/// What is seen of the fleet at one moment.
+/// An observation of the fleet at one moment.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
-    /// Zones by name; all that ever had a machine.
+    /// Every zone that ever had a machine, by name.
     pub zones: BTreeMap<String, ZoneView>,
-    /// Zones of which most of a sample of machines did not answer.
+    /// Zones in which most machines of a sample did not respond.
     pub sampled_partitioned: BTreeSet<String>,
-    /// Zones from which another controller answers.
+    /// Zones from which another controller responds.
     pub zones_with_controller: BTreeSet<String>,
-    /// Other controllers, and how many of them answer.
+    /// Number of other controllers.
     pub other_controllers: usize,
-    /// Controllers that answer.
+    /// Number of other controllers that respond.
     pub responding_controllers: usize,
-    /// This controller gave way for that reason lately, and leads again: nobody else could.
+    /// Whether this controller recently stepped down for being in a minority and leads again, since no other
+    /// could.
     pub stepped_down: bool,
-    /// Workers still look for this leader: missing reports show nothing yet.
+    /// Whether workers are still looking for this new leader, so that missing reports are not evidence yet.
     pub workers_reconnecting: bool,
 }
 
 /// Why a zone's state changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
-    /// Reports of this many machines are overdue, or they do not answer calls.
+    /// Reports of machines are overdue, or the machines do not respond to calls.
     MachinesOut {
-        /// Machines out of reach.
+        /// Machines out of contact.
         out: usize,
-        /// Machines in all.
+        /// All machines of the zone.
         of: usize,
     },
-    /// Most of a sample of the zone's machines did not answer.
+    /// Most of a sample of the zone's machines did not respond.
     SampleFailed,
-    /// They stayed out of reach, and direct calls to them failed.
+    /// The machines stayed out of contact, and direct calls to them failed.
     CallsFailed {
         /// Machines to which calls failed.
         failed: usize,
-        /// Machines out of reach.
+        /// Machines out of contact.
         out: usize,
     },
     /// Machines report in time again.
     ReportsInTime {
-        /// Machines that do.
+        /// Machines that report in time.
         in_time: usize,
-        /// Machines in all.
+        /// All machines of the zone.
         of: usize,
     },
-    /// The zone has no machines left, and a controller in it answers.
+    /// The zone has no machines left, and a controller in it responds.
     ControllerAnswers,
-    /// The zone has had no machines for as long as a probation: new ones may tell.
+    /// The zone has had no machines for the length of a probation; it is tried again with new ones.
     NoMachines,
-    /// Too few machines are out of reach for a suspicion.
+    /// Too few machines are out of contact to keep the zone suspect.
     MachinesBack {
-        /// Machines out of reach.
+        /// Machines out of contact.
         out: usize,
-        /// Machines in all.
+        /// All machines of the zone.
         of: usize,
     },
     /// Probation passed without a relapse.
--- a/crates/failover/src/failover.rs
+++ b/crates/failover/src/failover.rs
@@ -1,4 +1,4 @@
-//! All zones of a fleet, and what follows from their states for placement.
+//! Failover of all zones of a fleet, and the consequences of their states for placement.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -11,73 +11,75 @@
 use crate::zone::{Transition, Zone, ZoneContext};
 use crate::{Name, TaskKey};
 
-/// How long after a suspicion a zone gets no new work: by then it is lost, or it was a false alarm or a part
-/// of it only.
+/// How long a zone is given no new work after it was suspected. By then it is lost, unless it was a false alarm or
+/// only a part of the zone failed.
 const SUSPECT_PAUSE: Duration = Duration::from_secs(5);
-/// Bytes that a zone takes in the record beside its name, and a machine.
+/// Bytes that a zone takes in the record beside its name.
 const ZONE_BYTES: usize = 160;
+/// Bytes that a machine takes in the record beside its name.
 const MACHINE_BYTES: usize = 4;
 
-/// Whether a zone takes new work.
+/// Whether a zone accepts new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Access {
-    /// All that fits.
+    /// As much as fits.
     #[default]
     Open,
     /// As much as its ramp admits.
     Ramped,
-    /// None for now; its machines still count as capacity.
+    /// None for the moment; its machines still count as capacity.
     Paused,
-    /// None, and its machines are no capacity.
+    /// None, and its machines don't count as capacity.
     Closed,
 }
 
-/// What a look at the fleet led to.
+/// The results of one observation of the fleet.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Observation {
-    /// Zones that changed their state.
+    /// Changes of zone states.
     pub transitions: Vec<Transition>,
-    /// Most of the fleet is out of reach, and no other controller answers: likely it is this node that is
-    /// cut off, and another should lead.
+    /// Whether most of the fleet is out of contact and no other controller responds: this node is likely
+    /// partitioned, and another one should lead.
     pub minority: bool,
     /// The evacuation that has just ended.
     pub finished_evacuation: Option<Evacuation>,
 }
 
-/// What became of one tier in an evacuation.
+/// The tasks of one tier in an evacuation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TierCount {
-    /// Tasks whose places were lost.
+    /// Tasks that lost their placement.
     pub displaced: u64,
-    /// Tasks of these that have a new place.
+    /// Tasks among them that have a new placement.
     pub placed: u64,
-    /// When the last of them got it, counted from the loss of the zone.
+    /// Time from the loss of the zone until the last of them was placed.
     pub last_placed_after: Duration,
 }
 
-/// An evacuation: from the loss of a zone until its work has new places.
+/// An evacuation, which lasts from the loss of a zone until its tasks have new placements.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Evacuation {
     /// When the first zone was lost.
     pub since: Instant,
-    /// What became of each tier.
+    /// Counts of tasks by tier.
     pub tiers: Vec<TierCount>,
 }
 
-/// Failover for one term of a leader.
+/// Zone failover during one term of a leader.
 #[derive(Clone, Debug)]
 pub struct Failover {
     settings: Settings,
     zones: BTreeMap<String, Zone>,
     evacuation: Option<Evacuation>,
-    /// Tasks that lost their place with a zone and wait for another one, with their tiers.
+    /// Tasks that lost their placement with a zone and wait for another one, with their tiers.
     displaced: BTreeMap<TaskKey, usize>,
+    /// Machines that were being drained when their zone was suspected.
     drained: BTreeMap<Name, DrainReasons>,
     unwritten: bool,
 }
 
 impl Failover {
-    /// A fleet of which nothing is known yet.
+    /// Creates the failover state of a fleet that has not been observed yet.
     pub fn new(settings: Settings) -> Failover {
         Failover {
             settings,
@@ -94,12 +96,12 @@
         &self.settings
     }
 
-    /// A zone, if it was ever seen.
+    /// Returns a zone, if it was ever observed.
     pub fn zone(&self, name: &str) -> Option<&Zone> {
         self.zones.get(name)
     }
 
-    /// A zone's state; one that was never seen is healthy.
+    /// Returns a zone's state; a zone that was never observed is healthy.
     pub fn state(&self, name: &str) -> ZoneState {
         self.zones.get(name).map_or(ZoneState::Healthy, Zone::state)
     }
@@ -109,38 +111,38 @@
         self.zones.values().all(|zone| zone.state() == ZoneState::Healthy)
     }
 
-    /// Whether all zones take all work.
+    /// Whether all zones accept work without restriction.
     pub fn all_open(&self) -> bool {
         self.all_healthy() && self.settings.excluded_zones.is_empty()
     }
 
-    /// Judges all zones by what is seen of them now. A fleet of one zone is not judged.
+    /// Applies an observation of the fleet to all zones. The zones of a single-zone fleet are not judged.
     pub fn observe(&mut self, now: Instant, fleet: &FleetView) -> Observation {
         let mut observation = Observation::default();
-        let populated = fleet.zones.values().filter(|view| view.machines > 0).count();
-        if fleet.zones.len() < 2 || populated == 0 {
+        let zones_with_machines = fleet.zones.values().filter(|view| view.machines > 0).count();
+        if fleet.zones.len() < 2 || zones_with_machines == 0 {
             return observation;
         }
-        let silent = |view: &&ZoneView| view.out_of_contact_share() >= self.settings.suspect_share;
-        let whole = fleet.zones.values().filter(|view| view.machines > 0).any(|view| !silent(&view));
-        let all: usize = fleet.zones.values().map(|view| view.machines).sum();
-        let silent_machines: usize = fleet.zones.values().filter(silent).map(|view| view.out_of_contact).sum();
-        let alone = fleet.other_controllers > 0 && fleet.responding_controllers == 0;
-        let minority = silent_machines * 2 > all && alone && !fleet.workers_reconnecting;
-        observation.minority = minority && !fleet.stepped_down;
-        let can_judge = !fleet.workers_reconnecting && whole && !observation.minority;
-        // A new leader may know a zone by the record only.
+        let out_of_contact = |view: &&ZoneView| view.out_of_contact_share() >= self.settings.suspect_share;
+        let any_in_contact = fleet.zones.values().filter(|view| view.machines > 0).any(|view| !out_of_contact(&view));
+        let machines: usize = fleet.zones.values().map(|view| view.machines).sum();
+        let machines_out: usize = fleet.zones.values().filter(out_of_contact).map(|view| view.out_of_contact).sum();
+        let isolated = fleet.other_controllers > 0 && fleet.responding_controllers == 0;
+        let in_minority = machines_out * 2 > machines && isolated && !fleet.workers_reconnecting;
+        observation.minority = in_minority && !fleet.stepped_down;
+        let can_judge = !fleet.workers_reconnecting && any_in_contact && !observation.minority;
+        // A new leader may know a zone from the record only.
         let names: BTreeSet<&String> = fleet.zones.keys().chain(self.zones.keys()).collect();
         for name in names.into_iter().cloned().collect::<Vec<_>>() {
             let view = &fleet.zones.get(&name).copied().unwrap_or_default();
             let zone = self.zones.entry(name.clone()).or_insert_with(|| Zone::new(now));
             zone.note_first_sign(now, view);
-            let around = ZoneContext {
+            let context = ZoneContext {
                 sampled_partitioned: fleet.sampled_partitioned.contains(&name),
                 controller_responds: fleet.zones_with_controller.contains(&name),
                 can_judge,
             };
-            if let Some((from, evidence, took)) = zone.observe(now, view, around, &self.settings) {
+            if let Some((from, evidence, took)) = zone.observe(now, view, context, &self.settings) {
                 let (zone_name, to, episode) = (name.clone(), zone.state(), zone.episode());
                 observation.transitions.push(Transition { zone: zone_name, from, to, evidence, episode, took });
                 self.unwritten = true;
@@ -153,20 +155,24 @@
         observation
     }
 
-    /// Begins an evacuation when a zone is lost, and ends it when nothing is left to be placed, or has
-    /// been for too long: lower tiers must not wait for ever.
+    /// Begins an evacuation when a zone is lost, and ends it when no displaced task remains to be placed or the
+    /// time limit has passed, so that later tiers do not wait forever.
     fn update_evacuation(&mut self, now: Instant, fleet: &FleetView) -> Option<Evacuation> {
         let limit = self.settings.max_evacuation;
-        let fresh = |zone: &Zone| zone.lost_at().is_some_and(|at| now.saturating_duration_since(at) < limit);
+        let recently_lost = |zone: &Zone| zone.lost_at().is_some_and(|at| now.saturating_duration_since(at) < limit);
         let unhealthy = |zone: &Zone| matches!(zone.state(), ZoneState::Lost | ZoneState::Returning);
-        let lately: Vec<&String> =
-            self.zones.iter().filter(|(_, zone)| unhealthy(zone) && fresh(zone)).map(|(name, _)| name).collect();
-        let to_come = lately.iter().any(|name| {
+        let recent: Vec<&String> = self
+            .zones
+            .iter()
+            .filter(|(_, zone)| unhealthy(zone) && recently_lost(zone))
+            .map(|(name, _)| name)
+            .collect();
+        let more_expected = recent.iter().any(|name| {
             let lost = self.zones[*name].state() == ZoneState::Lost;
             lost && fleet.zones.get(*name).is_some_and(|view| view.tasks_out_of_contact > 0)
         });
-        let wanted = !lately.is_empty() && (to_come || !self.displaced.is_empty());
-        match (wanted, &self.evacuation) {
+        let should_evacuate = !recent.is_empty() && (more_expected || !self.displaced.is_empty());
+        match (should_evacuate, &self.evacuation) {
             (true, None) => {
                 let tiers = vec![TierCount::default(); self.settings.tier_count()];
                 self.evacuation = Some(Evacuation { since: now, tiers });
@@ -180,12 +186,12 @@
         }
     }
 
-    /// Whether placement goes by tiers now.
+    /// Whether an evacuation is in progress, during which placement follows the order of tiers.
     pub fn is_evacuating(&self) -> bool {
         self.evacuation.is_some()
     }
 
-    /// A task lost its place with a zone.
+    /// Records that a task lost its placement with a zone.
     pub fn task_displaced(&mut self, key: &TaskKey, tier: usize) {
         if self.displaced.insert(key.clone(), tier).is_none()
             && let Some(evacuation) = &mut self.evacuation
@@ -194,7 +200,7 @@
         }
     }
 
-    /// A task got a place.
+    /// Records that a task was placed.
     pub fn task_placed(&mut self, now: Instant, key: &TaskKey) {
         let Some(tier) = self.displaced.remove(key) else { return };
         if let Some(evacuation) = &mut self.evacuation {
@@ -204,7 +210,7 @@
         }
     }
 
-    /// A job is over: its tasks wait for nothing.
+    /// Forgets the displaced tasks of a job that has ended.
     pub fn job_ended(&mut self, job: &Name) {
         if self.displaced.is_empty() {
             return;
@@ -216,47 +222,47 @@
         }
     }
 
-    /// Whether a task of a class may begin anew because of its zone, having done so `before` times.
-    pub fn may_rerun(&self, class: &str, before: u32) -> bool {
-        self.settings.max_reruns.get(class).is_none_or(|most| before < *most)
+    /// Whether a task of a class may be restarted because of its zone, after `reruns` such restarts.
+    pub fn may_rerun(&self, class: &str, reruns: u32) -> bool {
+        self.settings.max_reruns.get(class).is_none_or(|max| reruns < *max)
     }
 
-    /// Whether a zone takes new work.
+    /// Returns whether a zone accepts new work.
     pub fn access(&self, now: Instant, zone: &str) -> Access {
         if self.settings.excluded_zones.contains(zone) {
             return Access::Closed;
         }
-        let Some(known) = self.zones.get(zone) else { return Access::Open };
-        match known.state() {
+        let Some(observed) = self.zones.get(zone) else { return Access::Open };
+        match observed.state() {
             ZoneState::Healthy => Access::Open,
-            ZoneState::Suspect if now.saturating_duration_since(known.since()) < SUSPECT_PAUSE => Access::Paused,
+            ZoneState::Suspect if now.saturating_duration_since(observed.since()) < SUSPECT_PAUSE => Access::Paused,
             ZoneState::Suspect => Access::Open,
             ZoneState::Lost => Access::Closed,
-            ZoneState::Returning if known.ramp().is_none_or(Ramp::is_open) => Access::Open,
+            ZoneState::Returning if observed.ramp().is_none_or(Ramp::is_open) => Access::Open,
             ZoneState::Returning => Access::Ramped,
         }
     }
 
-    /// Whether a zone that returns takes so many CPUs now.
+    /// Whether the ramp of a zone admits work for this many CPUs now.
     pub fn admits(&self, zone: &str, cpus: f64) -> bool {
         self.zones.get(zone).and_then(Zone::ramp).is_none_or(|ramp| ramp.admits(cpus))
     }
 
-    /// Work of so many CPUs is placed in a zone.
+    /// Charges the ramp of a zone for work of this many CPUs that was placed there.
     pub fn charge_admission(&mut self, zone: &str, cpus: f64) {
         if let Some(ramp) = self.zones.get_mut(zone).and_then(Zone::ramp_mut) {
             ramp.consume(cpus);
         }
     }
 
-    /// A task that was started in a zone runs.
+    /// Records that a task that was started in a zone is running.
     pub fn start_confirmed(&mut self, zone: &str) {
         if let Some(ramp) = self.zones.get_mut(zone).and_then(Zone::ramp_mut) {
             ramp.start_confirmed();
         }
     }
 
-    /// A task that was started in a zone was lost with its machine.
+    /// Records that a task that was started in a zone was lost with its machine.
     pub fn start_lost(&mut self, zone: &str) {
         if let Some(ramp) = self.zones.get_mut(zone).and_then(Zone::ramp_mut) {
             ramp.start_lost();
@@ -265,19 +271,19 @@
 
     // Machines that were being drained when their zone was suspected.
 
-    /// Why a machine was being drained.
+    /// Returns why a machine was being drained when its zone was suspected.
     pub fn recorded_drain(&self, machine: &Name) -> DrainReasons {
         self.drained.get(machine).copied().unwrap_or_default()
     }
 
-    /// A machine of a zone that is not healthy was being drained.
+    /// Records that a machine of an unhealthy zone was being drained.
     pub fn record_drain(&mut self, machine: &Name, drain: DrainReasons) {
         if drain.any() && self.drained.insert(machine.clone(), drain) != Some(drain) {
             self.unwritten = true;
         }
     }
 
-    /// A machine is gone, or its zone is healthy.
+    /// Forgets the drain of a machine that is gone or whose zone is healthy.
     pub fn forget_drain(&mut self, machine: &Name) {
         self.unwritten |= self.drained.remove(machine).is_some();
     }
@@ -289,18 +295,18 @@
         self.unwritten
     }
 
-    /// A write of the record failed, or is in doubt.
+    /// Marks the record to be written, since its last write failed or is in doubt.
     pub fn mark_unwritten(&mut self) {
         self.unwritten = true;
     }
 
-    /// The record, in so many bytes; from now on it counts as written.
-    pub fn to_record(&mut self, now: Instant, wall_ms: u64, most_bytes: usize) -> FailoverRecord {
+    /// Returns the record in at most `max_bytes`; it counts as written from now on.
+    pub fn to_record(&mut self, now: Instant, wall_ms: u64, max_bytes: usize) -> FailoverRecord {
         self.unwritten = false;
-        let mut left = most_bytes;
+        let mut remaining_bytes = max_bytes;
         let mut fits = |bytes: usize| {
-            let fits = bytes <= left;
-            left -= if fits { bytes } else { 0 };
+            let fits = bytes <= remaining_bytes;
+            remaining_bytes -= if fits { bytes } else { 0 };
             fits
         };
         let mut record = FailoverRecord::default();
@@ -315,20 +321,20 @@
         record
     }
 
-    /// Machines that fail what they start come first, as far as there is room.
+    /// Returns the drained machines that fit into the record, quarantined ones first.
     fn drained_record(&self, mut fits: impl FnMut(usize) -> bool) -> DrainedMachines {
-        let mut named = |wanted: fn(&DrainReasons) -> bool| {
-            let machines = self.drained.iter().filter(|(_, drain)| wanted(drain)).map(|(name, _)| name.to_string());
+        let mut machines_with = |has_reason: fn(&DrainReasons) -> bool| {
+            let machines = self.drained.iter().filter(|(_, drain)| has_reason(drain)).map(|(name, _)| name.to_string());
             machines.filter(|name| fits(name.len() + MACHINE_BYTES)).collect()
         };
         DrainedMachines {
-            quarantined: named(|drain| drain.quarantined),
-            straggling: named(|drain| drain.straggling),
-            retiring: named(|drain| drain.retiring),
+            quarantined: machines_with(|drain| drain.quarantined),
+            straggling: machines_with(|drain| drain.straggling),
+            retiring: machines_with(|drain| drain.retiring),
         }
     }
 
-    /// Takes over what an earlier leader left.
+    /// Restores the state from the record of an earlier leader.
     pub fn adopt(&mut self, record: &FailoverRecord, now: Instant, wall_ms: u64) {
         for zone in &record.zones {
             self.zones.insert(zone.zone.clone(), Zone::from_record(zone, now, wall_ms, &self.settings));
@@ -338,9 +344,9 @@
         self.adopt_drained(&record.drained.retiring, |drain| drain.retiring = true);
     }
 
-    fn adopt_drained(&mut self, machines: &[String], mark: fn(&mut DrainReasons)) {
+    fn adopt_drained(&mut self, machines: &[String], set_reason: fn(&mut DrainReasons)) {
         for name in machines {
-            mark(self.drained.entry(Name::from(name.as_str())).or_default());
+            set_reason(self.drained.entry(Name::from(name.as_str())).or_default());
         }
     }
 }
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,9 +1,10 @@
 //! Zone failover as a pure state machine: no I/O, no clock, no randomness.
 //!
-//! The scheduler's core feeds a [`Failover`] with what it sees of each zone and asks it which zones take
-//! work, in which order work is placed while a zone is evacuated, and how fast a zone that has returned
-//! is filled again. The core alone gives orders and writes. Nothing here proves a place empty: a verdict
-//! changes order and pace, never that proof. See `docs/failover.md` for the design.
+//! The scheduler's core passes its observations of each zone to a [`Failover`] and asks it which zones accept
+//! work, in which order tasks are placed while a zone is evacuated, and how fast a returned zone is given work
+//! again. The core alone sends orders and writes records. Failover never proves that a task is gone from a
+//! machine: the state of a zone changes only the order and rate of placement, and the core still requires that
+//! proof. See `docs/failover.md` for the design.
 
 #![warn(missing_docs)]
 
--- a/crates/failover/src/penalty.rs
+++ b/crates/failover/src/penalty.rs
@@ -1,37 +1,39 @@
-//! The flap penalty: grows by one with each loss and decays with a half-life, as in route flap damping.
+//! The flap penalty of a zone: it grows by one with each loss and decays exponentially, as in route flap
+//! damping.
 
 use std::time::{Duration, Instant};
 
-/// A value that halves in each half-life.
+/// A penalty that halves in each half-life.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Penalty {
+    /// The value at the time `at`.
     value: f64,
     at: Option<Instant>,
 }
 
-/// What each loss adds.
-const LOSS: f64 = 1.0;
+/// The penalty added by each loss.
+const PENALTY_PER_LOSS: f64 = 1.0;
 
 impl Penalty {
-    /// A penalty that had this value at a moment.
+    /// Creates a penalty that had this value at the given time.
     pub fn new(value: f64, at: Instant) -> Penalty {
         Penalty { value: value.max(0.0), at: Some(at) }
     }
 
-    /// Its value now.
+    /// Returns the decayed value now.
     pub fn value(&self, now: Instant, half_life: Duration) -> f64 {
         let Some(at) = self.at else { return 0.0 };
-        let halvings = now.saturating_duration_since(at).as_secs_f64() / half_life.as_secs_f64();
-        self.value * (-halvings).exp2()
+        let half_lives = now.saturating_duration_since(at).as_secs_f64() / half_life.as_secs_f64();
+        self.value * (-half_lives).exp2()
     }
 
-    /// A zone is lost.
+    /// Adds the penalty for the loss of the zone.
     pub fn add_loss(&mut self, now: Instant, half_life: Duration) {
-        *self = Penalty::new(self.value(now, half_life) + LOSS, now);
+        *self = Penalty::new(self.value(now, half_life) + PENALTY_PER_LOSS, now);
     }
 
-    /// By how much probation is longer, and filling slower, than after a single loss.
+    /// Returns the flap factor: by how much probation is longer, and the ramp slower, than after a single loss.
     pub fn factor(&self, now: Instant, half_life: Duration) -> f64 {
-        (self.value(now, half_life) - LOSS).exp2().max(1.0)
+        (self.value(now, half_life) - PENALTY_PER_LOSS).exp2().max(1.0)
     }
 }
--- a/crates/failover/src/ramp.rs
+++ b/crates/failover/src/ramp.rs
@@ -1,92 +1,94 @@
-//! How fast a zone that has returned is filled: a token bucket of CPUs whose rate grows with what the zone
-//! shows, and falls when it shows trouble.
+//! Admission control for a zone that has returned: a token bucket of CPUs. Its rate doubles with each good
+//! step and is halved when starts in the zone fail.
 
 use std::time::{Duration, Instant};
 
 use crate::settings::Settings;
 
-/// Seconds of the rate that may be saved up.
-const SAVED_S: f64 = 1.0;
-/// From this share of the zone's CPUs a second on the zone is open.
-const OPEN: f64 = 1.0;
-/// By how much more a second loss slows the first rate than it lengthens the steps.
+/// The bucket holds at most the tokens of this many seconds.
+const MAX_BURST_S: f64 = 1.0;
+/// Rate from which on admission is unlimited: all of the zone's CPUs each second.
+const UNLIMITED_RATE: f64 = 1.0;
+/// A flap factor divides the first rate by this power of itself, while it only multiplies the length of steps.
 const FIRST_RATE_EXPONENT: i32 = 2;
-/// Starts that were lost, as a share of all since the last step, from which on a step is no good one.
-const LOST_STARTS: f64 = 0.1;
+/// A step is bad if more than this share of its starts was lost.
+const MAX_LOST_STARTS_SHARE: f64 = 0.1;
 
-/// The admission of work to a zone that has returned.
+/// Limits how fast a zone that has returned is given new work.
 #[derive(Clone, Debug)]
 pub struct Ramp {
     /// Share of the zone's CPUs that is admitted each second.
     rate: f64,
     first_rate: f64,
     step: Duration,
-    stepped: Instant,
-    filled: Instant,
+    step_began: Instant,
+    filled_at: Instant,
     /// CPUs that may be given work now.
     tokens: f64,
-    /// Starts since the last step that were seen running, and that were lost.
+    /// Starts since the last step that were reported running.
     confirmed: u32,
+    /// Starts since the last step that were lost with their machine.
     lost: u32,
 }
 
 impl Ramp {
-    /// A ramp that begins now; `factor` slows it.
-    pub fn new(now: Instant, factor: f64, settings: &Settings) -> Ramp {
-        let rate = settings.ramp_share / factor.powi(FIRST_RATE_EXPONENT);
-        let step = settings.ramp_step.mul_f64(factor);
-        Ramp { rate, first_rate: rate, step, stepped: now, filled: now, tokens: 0.0, confirmed: 0, lost: 0 }
+    /// Creates a ramp that begins now; a larger `flap_factor` slows it down.
+    pub fn new(now: Instant, flap_factor: f64, settings: &Settings) -> Ramp {
+        let rate = settings.ramp_share / flap_factor.powi(FIRST_RATE_EXPONENT);
+        let step = settings.ramp_step.mul_f64(flap_factor);
+        Ramp { rate, first_rate: rate, step, step_began: now, filled_at: now, tokens: 0.0, confirmed: 0, lost: 0 }
     }
 
-    /// Whether the zone takes all that fits.
+    /// Whether admission is unlimited.
     pub fn is_open(&self) -> bool {
-        self.rate >= OPEN
+        self.rate >= UNLIMITED_RATE
     }
 
-    /// Whether so many CPUs may be given work now.
+    /// Whether this many CPUs may be given work now.
     pub fn admits(&self, cpus: f64) -> bool {
         self.is_open() || self.tokens >= cpus
     }
 
-    /// CPUs were given work.
+    /// Takes the tokens for CPUs that were given work.
     pub fn consume(&mut self, cpus: f64) {
         self.tokens -= cpus;
     }
 
-    /// A task that was started there was seen running.
+    /// Counts a task that was started in the zone and is running.
     pub fn start_confirmed(&mut self) {
         self.confirmed += 1;
     }
 
-    /// A task that was started there was lost with its machine.
+    /// Counts a task that was started in the zone and lost with its machine.
     pub fn start_lost(&mut self) {
         self.lost += 1;
     }
 
-    /// Lets time pass in a zone of so many CPUs; `whole` if nearly all of its machines report in time.
-    pub fn tick(&mut self, now: Instant, cpus: f64, largest_machine_cpus: f64, whole: bool) {
+    /// Advances time in a zone with this many CPUs; `mostly_reporting` if nearly all of its machines report in
+    /// time.
+    pub fn tick(&mut self, now: Instant, cpus: f64, largest_machine_cpus: f64, mostly_reporting: bool) {
         if self.is_open() {
             return;
         }
-        let since = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.filled = now;
-        // Room for one task of any size, or it would never be admitted.
-        let most = (self.rate * cpus * SAVED_S).max(largest_machine_cpus);
-        self.tokens = (self.tokens + self.rate * cpus * since).min(most);
-        if now.saturating_duration_since(self.stepped) >= self.step {
-            self.take_step(now, whole);
+        let elapsed_s = now.saturating_duration_since(self.filled_at).as_secs_f64();
+        self.filled_at = now;
+        // The bucket holds at least a task as large as a machine, which would never be admitted otherwise.
+        let capacity = (self.rate * cpus * MAX_BURST_S).max(largest_machine_cpus);
+        self.tokens = (self.tokens + self.rate * cpus * elapsed_s).min(capacity);
+        if now.saturating_duration_since(self.step_began) >= self.step {
+            self.take_step(now, mostly_reporting);
         }
     }
 
-    fn take_step(&mut self, now: Instant, whole: bool) {
+    fn take_step(&mut self, now: Instant, mostly_reporting: bool) {
         let starts = f64::from(self.confirmed + self.lost);
-        let loses = f64::from(self.lost) > starts * LOST_STARTS;
-        match (loses, whole) {
+        let loses_starts = f64::from(self.lost) > starts * MAX_LOST_STARTS_SHARE;
+        match (loses_starts, mostly_reporting) {
             (true, _) => self.rate = (self.rate / 2.0).max(self.first_rate),
             (false, true) => self.rate *= 2.0,
-            // It stays as it is until all report.
+            // The rate stays until nearly all machines report.
             (false, false) => {}
         }
-        (self.stepped, self.confirmed, self.lost) = (now, 0, 0);
+        (self.step_began, self.confirmed, self.lost) = (now, 0, 0);
     }
 }
--- a/crates/failover/src/record.rs
+++ b/crates/failover/src/record.rs
@@ -1,55 +1,56 @@
-//! The durable form: one value of the state service, written in the transactions of the log, so that no
-//! placement of evacuated work is durable before the episode to which it belongs.
+//! The durable form of failover state: one value in the state service. It is written in the same transactions
+//! as the log of placements, so that no placement of evacuated tasks is durable before the episode that it
+//! belongs to.
 //!
-//! Versions that know nothing of it leave the key alone. What stands there may then be old: states are
-//! judged again on fresh evidence, and penalties decay by the time of day.
+//! Versions of the scheduler without failover leave the key alone, so the value may be stale: states are judged
+//! again on fresh evidence, and penalties decay by wall-clock time.
 
 use serde::{Deserialize, Serialize};
 
 use crate::state::ZoneState;
 
-/// What the key begins with.
+/// Prefix of the keys of failover records.
 pub const PREFIX: &str = "failover/";
-/// The key.
+/// Key of the failover record.
 pub const RECORD_KEY: &str = "failover/zones";
 
-/// The value.
+/// The failover record.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FailoverRecord {
-    /// Zones that are not healthy, or have a penalty left.
+    /// Zones that are not healthy or still have a penalty.
     pub zones: Vec<ZoneRecord>,
     /// Machines of these zones that were being drained when their zone was suspected.
     #[serde(default)]
     pub drained: DrainedMachines,
 }
 
-/// A zone.
+/// The record of a zone.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ZoneRecord {
-    /// Its name.
+    /// Name of the zone.
     pub zone: String,
-    /// Its state.
+    /// State of the zone.
     pub state: ZoneState,
-    /// Time of day since when, in milliseconds since 1970.
+    /// Wall-clock time at which the zone entered its state, in milliseconds since 1970.
     pub since_ms: u64,
-    /// Counts the evacuations of the zone.
+    /// Number of evacuations of the zone.
     pub episode: u64,
-    /// Time of day of the last loss, in milliseconds since 1970.
+    /// Wall-clock time of the last loss, in milliseconds since 1970.
     pub lost_ms: u64,
     /// The flap penalty just after the last loss.
     pub penalty: f64,
 }
 
-/// Machines that were being drained, by the reason.
+/// Machines that were being drained, by reason.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainedMachines {
-    /// More than enough was there.
+    /// Machines that were being retired since there was excess capacity.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub retiring: Vec<String>,
-    /// They failed the tasks that they started.
+    /// Machines that were quarantined since the tasks that they started failed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub quarantined: Vec<String>,
-    /// They were slow for their level.
+    /// Machines that were slow for their level.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub straggling: Vec<String>,
 }
@@ -57,16 +58,16 @@
 /// Why a machine is being drained.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DrainReasons {
-    /// More than enough is there.
+    /// There is excess capacity.
     pub retiring: bool,
-    /// It fails the tasks that it starts.
+    /// The tasks that it starts fail.
     pub quarantined: bool,
     /// It is slow for its level.
     pub straggling: bool,
 }
 
 impl DrainReasons {
-    /// Whether there is any reason.
+    /// Whether there is any reason to drain the machine.
     pub fn any(self) -> bool {
         self.retiring || self.quarantined || self.straggling
     }
--- a/crates/failover/src/sample.rs
+++ b/crates/failover/src/sample.rs
@@ -1,19 +1,19 @@
-//! What a sample of the machines tells when some fall silent: whether a zone, or a good part of the fleet,
-//! is cut off rather than a few machines dead.
+//! Evaluates direct calls to a sample of machines when some become unresponsive, to distinguish a partitioned
+//! zone, or a partition of much of the fleet, from a few dead machines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines of a zone that must have been asked for the zone to be taken for cut off.
-const ASKED_OF_ZONE: usize = 6;
-/// Of those asked so many parts of so many must be mute for this node to be out of reach itself.
-const MOST: (usize, usize) = (4, 5);
+/// Machines of a zone that must have been probed before the zone can be considered partitioned.
+const MIN_PROBES_PER_ZONE: usize = 6;
+/// Numerator and denominator of the share of failed calls from which on this node itself is unreachable.
+const MOST_CALLS: (usize, usize) = (4, 5);
 
-/// Machines, and the ordinary ones among them.
+/// A number of machines, and of the ordinary (non-spot) ones among them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MachineCounts {
-    /// All.
+    /// All machines.
     pub all: usize,
-    /// Those that the cloud does not take back.
+    /// Machines that the cloud does not reclaim.
     pub ordinary: usize,
 }
 
@@ -26,52 +26,55 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Tally {
-    asked: usize,
-    failed: usize,
+struct ZoneTally {
+    probed: usize,
+    unresponsive: usize,
 }
 
-/// Answers of a sample of machines, by zone.
+/// Results of probing a sample of machines, by zone.
 #[derive(Clone, Debug, Default)]
 pub struct SurveySample {
-    zones: BTreeMap<String, Tally>,
-    asked: MachineCounts,
-    failed: MachineCounts,
-    mute: usize,
+    zones: BTreeMap<String, ZoneTally>,
+    probed: MachineCounts,
+    unresponsive: MachineCounts,
+    /// Machines whose direct call failed, whether or not they report.
+    calls_failed: usize,
 }
 
 impl SurveySample {
-    /// Counts a machine that was asked: `failed` if it is silent too, `mute` if it did not answer, whatever
-    /// it reports.
-    pub fn add_result(&mut self, zone: &str, spot: bool, failed: bool, mute: bool) {
+    /// Adds a machine that was probed: `unresponsive` if it does not report either, `call_failed` if it did not
+    /// respond, whether or not it reports.
+    pub fn add_result(&mut self, zone: &str, spot: bool, unresponsive: bool, call_failed: bool) {
         let tally = self.zones.entry(zone.to_owned()).or_default();
-        tally.asked += 1;
-        tally.failed += usize::from(failed);
-        self.asked.add_machine(spot);
-        self.mute += usize::from(mute);
-        if failed {
-            self.failed.add_machine(spot);
+        tally.probed += 1;
+        tally.unresponsive += usize::from(unresponsive);
+        self.probed.add_machine(spot);
+        self.calls_failed += usize::from(call_failed);
+        if unresponsive {
+            self.unresponsive.add_machine(spot);
         }
     }
 
-    /// Zones of which most did not answer, while most of another zone did.
+    /// Returns the zones of which most probed machines are unresponsive, unless that is so in every zone.
     pub fn partitioned_zones(&self) -> BTreeSet<String> {
-        let (cut, whole): (Vec<_>, Vec<_>) = self.zones.iter().partition(|(_, tally)| tally.failed * 2 > tally.asked);
-        let enough = |(_, tally): &(&String, &Tally)| tally.asked >= ASKED_OF_ZONE && !whole.is_empty();
-        cut.into_iter().filter(enough).map(|(zone, _)| zone.clone()).collect()
+        let (unreachable, reachable): (Vec<_>, Vec<_>) =
+            self.zones.iter().partition(|(_, tally)| tally.unresponsive * 2 > tally.probed);
+        let is_conclusive =
+            |(_, tally): &(&String, &ZoneTally)| tally.probed >= MIN_PROBES_PER_ZONE && !reachable.is_empty();
+        unreachable.into_iter().filter(is_conclusive).map(|(zone, _)| zone.clone()).collect()
     }
 
-    /// How many of a fleet are silent, by the sample.
+    /// Estimates the number of unresponsive machines in the fleet by extrapolating the sample.
     pub fn estimate_unresponsive(&self, fleet: MachineCounts) -> MachineCounts {
-        let part = |failed: usize, asked: usize, fleet: usize| failed * fleet / asked.max(1);
+        let extrapolate = |unresponsive: usize, probed: usize, fleet: usize| unresponsive * fleet / probed.max(1);
         MachineCounts {
-            all: part(self.failed.all, self.asked.all, fleet.all),
-            ordinary: part(self.failed.ordinary, self.asked.ordinary, fleet.ordinary),
+            all: extrapolate(self.unresponsive.all, self.probed.all, fleet.all),
+            ordinary: extrapolate(self.unresponsive.ordinary, self.probed.ordinary, fleet.ordinary),
         }
     }
 
-    /// Whether so many did not answer that this node is out of reach, rather than they.
+    /// Whether so many calls failed that this node is likely unreachable, rather than the machines.
     pub fn most_calls_failed(&self) -> bool {
-        self.asked.all > 0 && self.mute * MOST.1 >= self.asked.all * MOST.0
+        self.probed.all > 0 && self.calls_failed * MOST_CALLS.1 >= self.probed.all * MOST_CALLS.0
     }
 }
--- a/crates/failover/src/settings.rs
+++ b/crates/failover/src/settings.rs
@@ -1,54 +1,54 @@
-//! What operators set for failover, with units, defaults and checks.
+//! Settings of zone failover, with units, defaults and checks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Classes of jobs that are placed together, before all later tiers.
+/// Classes of jobs that are placed together in an evacuation, before those of all later tiers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tier {
-    /// Its name.
+    /// Name of the tier.
     pub name: String,
-    /// The classes.
+    /// Classes of the tier.
     pub classes: Vec<String>,
 }
 
-/// The operators' settings; all shares are parts of one.
+/// The operators' settings; shares are fractions of one.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Tiers of classes, the first to be placed first. Classes that none names come after them, by their
-    /// priority and guarantee.
+    /// Tiers in the order of their placement. Classes without a tier come after them, ordered by priority and
+    /// guarantee.
     pub tiers: Vec<Tier>,
-    /// Tiers whose work keeps off a zone on probation while there is room elsewhere, by name.
+    /// Names of the tiers that avoid zones on probation while other zones have free resources.
     pub tiers_avoiding_probation: BTreeSet<String>,
-    /// Machines that must be silent for a zone to be suspected.
+    /// Minimum number of machines out of contact for a zone to be suspected or lost.
     pub min_machines: usize,
-    /// Share of a zone's machines that must be out of reach for the zone to be suspected.
+    /// Share of a zone's machines that must be out of contact for the zone to be suspected.
     pub suspect_share: f64,
-    /// Share of a zone's machines that must be out of reach for the zone to be lost.
+    /// Share of a zone's machines that must be out of contact for the zone to be lost.
     pub lost_share: f64,
-    /// For how long they must be out of reach, with calls that failed, before the zone is lost.
+    /// How long that share must be out of contact, with failed calls, before the zone is lost.
     pub lost_confirmation: Duration,
-    /// Share of a lost zone's machines that must report in time for the zone to be returning.
+    /// Share of a lost zone's machines that must report in time before the zone is returning.
     pub return_share: f64,
-    /// How long a zone that has returned is on probation.
+    /// Length of the probation of a returned zone after a single loss.
     pub probation: Duration,
-    /// The longest probation of a zone that is lost again and again.
+    /// Longest probation of a zone that is lost repeatedly.
     pub max_probation: Duration,
-    /// Time in which the penalty for a loss halves.
+    /// Half-life of the flap penalty.
     pub penalty_half_life: Duration,
-    /// Share of a returned zone's CPUs that may be given work each second at first.
+    /// Initial share of a returned zone's CPUs that may be given work each second.
     pub ramp_share: f64,
-    /// After so long without trouble that share doubles.
+    /// Time without lost starts after which that share doubles.
     pub ramp_step: Duration,
-    /// How long the silent machines of a lost zone are kept beyond their leases.
+    /// How long unresponsive machines of a lost zone are kept after their leases have expired.
     pub machine_retention: Duration,
-    /// How long after its loss a zone's evacuation orders placement by tiers at the most.
+    /// Longest time after a zone's loss during which placement follows the order of tiers.
     pub max_evacuation: Duration,
-    /// How often a task of a class may begin anew because of zones; without an entry, as often as needed.
+    /// Number of times that a task may be restarted because of zone failures, by class; unlimited without an entry.
     pub max_reruns: BTreeMap<String, u32>,
-    /// Zones that get no new work, whatever they show.
+    /// Zones that are given no new work, whatever their state.
     pub excluded_zones: BTreeSet<String>,
-    /// Zones that are let in at once when they return.
+    /// Zones whose probation ends at once when they return.
     pub admitted_zones: BTreeSet<String>,
 }
 
@@ -76,65 +76,65 @@
     }
 }
 
-/// The longest that tiers may order placement after a loss: work of the last tier must not starve.
-const LONGEST_EVACUATION_S: f64 = 120.0;
+/// Upper bound of `max_evacuation`, so that the last tier does not starve.
+const MAX_EVACUATION_S: f64 = 120.0;
 
-/// A setting that makes no sense.
+/// An invalid setting.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
-    /// A number out of range.
+    /// A number is out of range.
     #[error("failover.{setting}: must be {low} to {high}{unit}")]
     Range {
-        /// The setting's name in the operators' file.
+        /// The setting's key in the operators' file.
         setting: &'static str,
-        /// The least that it may be.
+        /// The smallest allowed value.
         low: f64,
-        /// The most that it may be.
+        /// The largest allowed value.
         high: f64,
-        /// What it counts.
+        /// The unit of the value, with a leading space, or empty.
         unit: &'static str,
     },
-    /// A name that is empty.
-    #[error("failover.{setting}: names an empty {what}")]
+    /// A name or a list is empty.
+    #[error("failover.{setting}: contains an empty {what}")]
     Empty {
-        /// The setting's name.
+        /// The setting's key.
         setting: &'static str,
-        /// What should be named.
+        /// The kind of item that is empty.
         what: &'static str,
     },
-    /// A name that stands twice.
-    #[error("failover.{setting}: {what} {name} stands twice")]
+    /// A name is listed more than once.
+    #[error("failover.{setting}: {what} {name} is listed twice")]
     Duplicate {
-        /// The setting's name.
+        /// The setting's key.
         setting: &'static str,
-        /// What is named.
+        /// The kind of item that is named.
         what: &'static str,
         /// The name.
         name: String,
     },
-    /// A name that nothing else names.
+    /// A name is not defined anywhere.
     #[error("failover.{setting}: unknown {what} {name}")]
     Unknown {
-        /// The setting's name.
+        /// The setting's key.
         setting: &'static str,
-        /// What is named.
+        /// The kind of item that is named.
         what: &'static str,
         /// The name.
         name: String,
     },
-    /// The share for a verdict is below the share for a suspicion.
+    /// The share for a loss is below the share for a suspicion.
     #[error("failover.lost_share: must not be below suspect_share")]
     LostShareBelowSuspectShare,
-    /// The longest probation is shorter than the first.
+    /// The longest probation is shorter than the first one.
     #[error("failover.longest_probation_s: must not be below probation_s")]
     MaxProbationBelowProbation,
-    /// A zone is to be held out and let in.
-    #[error("failover.admitted: zone {0} is held out too")]
+    /// A zone is both excluded and admitted.
+    #[error("failover.admitted: zone {0} is also listed in held_out")]
     ExcludedAndAdmitted(String),
 }
 
 impl Settings {
-    /// Checks every setting; the error names the first that makes no sense.
+    /// Checks every setting; the error names the first invalid one.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_numbers()?;
         self.check_tiers()?;
@@ -147,26 +147,26 @@
     }
 
     fn check_numbers(&self) -> Result<(), SettingsError> {
-        let shares = [
+        let numbers = [
             ("least_machines", self.min_machines as f64, 1.0, 1000.0),
             ("suspect_share", self.suspect_share, 0.1, 1.0),
             ("lost_share", self.lost_share, 0.1, 1.0),
             ("return_share", self.return_share, 0.1, 1.0),
             ("ramp_share", self.ramp_share, 0.001, 1.0),
         ];
-        for (setting, value, low, high) in shares {
+        for (setting, value, low, high) in numbers {
             in_range(setting, value, low, high, "")?;
         }
-        let times = [
+        let durations = [
             ("confirm_s", self.lost_confirmation, 0.0, 60.0),
             ("probation_s", self.probation, 1.0, 3600.0),
             ("longest_probation_s", self.max_probation, 1.0, 86_400.0),
             ("half_life_s", self.penalty_half_life, 1.0, 86_400.0),
             ("ramp_step_s", self.ramp_step, 0.1, 60.0),
             ("keep_machines_s", self.machine_retention, 0.0, 600.0),
-            ("evacuation_s", self.max_evacuation, 1.0, LONGEST_EVACUATION_S),
+            ("evacuation_s", self.max_evacuation, 1.0, MAX_EVACUATION_S),
         ];
-        for (setting, value, low, high) in times {
+        for (setting, value, low, high) in durations {
             in_range(setting, value.as_secs_f64(), low, high, " seconds")?;
         }
         if self.lost_share < self.suspect_share {
@@ -182,28 +182,28 @@
         let mut names = BTreeSet::new();
         let mut classes = BTreeSet::new();
         for tier in &self.tiers {
-            named_once("tiers", "tier", &tier.name, &mut names)?;
+            insert_unique("tiers", "tier", &tier.name, &mut names)?;
             if tier.classes.is_empty() {
                 return Err(SettingsError::Empty { setting: "tiers", what: "list of classes" });
             }
             for class in &tier.classes {
-                named_once("tiers", "class", class, &mut classes)?;
+                insert_unique("tiers", "class", class, &mut classes)?;
             }
         }
-        known("careful_tiers", "tier", &self.tiers_avoiding_probation, &names)
+        check_known("careful_tiers", "tier", &self.tiers_avoiding_probation, &names)
     }
 
-    /// Checks names against the classes and the zones that the platform knows; of what it does not tell
-    /// any name may be.
+    /// Checks the names of classes and zones against those that the platform defines. An empty set means that the
+    /// platform does not define them, and any name is valid.
     pub fn check_names(&self, classes: &BTreeSet<String>, zones: &BTreeSet<String>) -> Result<(), SettingsError> {
         if !classes.is_empty() {
-            let tiered = self.tiers.iter().flat_map(|tier| &tier.classes);
-            known("tiers", "class", tiered, classes)?;
-            known("max_reruns", "class", self.max_reruns.keys(), classes)?;
+            let tier_classes = self.tiers.iter().flat_map(|tier| &tier.classes);
+            check_known("tiers", "class", tier_classes, classes)?;
+            check_known("max_reruns", "class", self.max_reruns.keys(), classes)?;
         }
         if !zones.is_empty() {
-            known("held_out", "zone", &self.excluded_zones, zones)?;
-            known("admitted", "zone", &self.admitted_zones, zones)?;
+            check_known("held_out", "zone", &self.excluded_zones, zones)?;
+            check_known("admitted", "zone", &self.admitted_zones, zones)?;
         }
         Ok(())
     }
@@ -213,8 +213,8 @@
     if (low..=high).contains(&value) { Ok(()) } else { Err(SettingsError::Range { setting, low, high, unit }) }
 }
 
-/// Takes a name into a list of names; it must be neither empty nor there already.
-pub(crate) fn named_once(
+/// Adds a name to a set; it must be neither empty nor in the set already.
+pub(crate) fn insert_unique(
     setting: &'static str,
     what: &'static str,
     name: &str,
@@ -230,7 +230,7 @@
 }
 
 impl Settings {
-    /// A list of names as a set; no name may be empty or stand twice.
+    /// Returns a list of names as a set; names must be unique and not empty.
     pub fn names(
         setting: &'static str,
         what: &'static str,
@@ -238,13 +238,14 @@
     ) -> Result<BTreeSet<String>, SettingsError> {
         let mut names = BTreeSet::new();
         for name in listed {
-            named_once(setting, what, name, &mut names)?;
+            insert_unique(setting, what, name, &mut names)?;
         }
         Ok(names)
     }
 }
 
-fn known<'a>(
+/// Checks that all names are defined.
+fn check_known<'a>(
     setting: &'static str,
     what: &'static str,
     names: impl IntoIterator<Item = &'a String>,
--- a/crates/failover/src/state.rs
+++ b/crates/failover/src/state.rs
@@ -1,18 +1,18 @@
-//! What is held of a zone.
+//! The state of a zone.
 
 use serde::{Deserialize, Serialize};
 
-/// What is held of a zone.
+/// The state of a zone, as judged by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, strum::Display)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum ZoneState {
-    /// Its machines are in reach.
+    /// Its machines are reachable.
     Healthy,
-    /// A good part of them may be out of reach.
+    /// A considerable share of its machines may be unreachable.
     Suspect,
-    /// It is out of reach: its work is to be placed elsewhere as its places are proven empty.
+    /// It is unreachable: its tasks are placed elsewhere once they are proven gone from its machines.
     Lost,
-    /// It is in reach again, on probation: it is filled by and by.
+    /// It is reachable again and on probation: it is given new work gradually.
     Returning,
 }
--- a/crates/failover/src/tiers.rs
+++ b/crates/failover/src/tiers.rs
@@ -1,57 +1,58 @@
-//! Tiers: the order in which work is placed while a zone is evacuated.
+//! Tiers: the order in which tasks are placed while a zone is evacuated.
 
 use rushyoke_wire::job::Priority;
 
 use crate::settings::{Settings, Tier};
 
-/// What decides a job's tier.
+/// The properties of a job that determine its tier.
 #[derive(Clone, Copy, Debug)]
 pub struct TierQuery<'a> {
-    /// Its class.
+    /// The job's class.
     pub class: &'a str,
-    /// Its priority.
+    /// The job's priority.
     pub priority: Priority,
-    /// Whether it is within its team's guarantee.
+    /// Whether the job is within its team's guarantee.
     pub guaranteed: bool,
 }
 
-/// Tiers of classes that operators name in none.
-const DERIVED: usize = 4;
+/// Number of tiers for classes that the operators assign to none.
+const DEFAULT_TIERS: usize = 4;
 
 impl TierQuery<'_> {
-    /// The tier by priority and guarantee alone.
-    fn derived(&self) -> usize {
+    /// Returns the index among the default tiers, by priority and guarantee alone.
+    fn default_tier(&self) -> usize {
         match (self.priority, self.guaranteed) {
             (Priority::Production, _) => 0,
             (Priority::High, _) | (Priority::Normal, true) => 1,
             (Priority::Normal, false) => 2,
-            (Priority::BestEffort, _) => DERIVED - 1,
+            (Priority::BestEffort, _) => DEFAULT_TIERS - 1,
         }
     }
 }
 
 impl Settings {
-    /// A job's tier; the lower number goes first.
+    /// Returns a job's tier; lower tiers are placed first.
     pub fn tier_of(&self, query: &TierQuery) -> usize {
-        let holds = |tier: &Tier| tier.classes.iter().any(|class| class == query.class);
-        self.tiers.iter().position(holds).unwrap_or(self.tiers.len() + query.derived())
+        let has_class = |tier: &Tier| tier.classes.iter().any(|class| class == query.class);
+        self.tiers.iter().position(has_class).unwrap_or(self.tiers.len() + query.default_tier())
     }
 
-    /// How many tiers there are.
+    /// Number of tiers.
     pub fn tier_count(&self) -> usize {
-        self.tiers.len() + DERIVED
+        self.tiers.len() + DEFAULT_TIERS
     }
 
-    /// A tier's name, for the log.
+    /// Returns a tier's name, for the log.
     pub fn tier_name(&self, tier: usize) -> &str {
-        const NAMES: [&str; DERIVED] = ["production", "guaranteed", "standard", "best effort"];
+        const NAMES: [&str; DEFAULT_TIERS] = ["production", "guaranteed", "standard", "best effort"];
         match self.tiers.get(tier) {
             Some(named) => &named.name,
-            None => NAMES[(tier - self.tiers.len()).min(DERIVED - 1)],
+            None => NAMES[(tier - self.tiers.len()).min(DEFAULT_TIERS - 1)],
         }
     }
 
-    /// Whether work of a tier keeps off a zone on probation: as operators say, or the first tier.
+    /// Whether jobs of a tier avoid zones on probation: those that the operators list, by default the first
+    /// tier.
     pub fn avoids_probation(&self, tier: usize) -> bool {
         if self.tiers_avoiding_probation.is_empty() {
             return tier == 0;
--- a/crates/failover/src/zone.rs
+++ b/crates/failover/src/zone.rs
@@ -1,4 +1,4 @@
-//! The states of a zone and the evidence that leads from one to the next.
+//! The state machine of a zone: its states, and the evidence for each transition.
 //!
 //! ```text
 //! Healthy ──MachinesOut, SampleFailed──▶ Suspect ──CallsFailed──▶ Lost ◀──MachinesOut──┐
@@ -6,7 +6,7 @@
 //!    └───ProbationPassed─── Returning ◀──ReportsInTime, ControllerAnswers, NoMachines──┘
 //! ```
 //!
-//! A loss from `Returning` is a relapse: it belongs to the same episode, and lengthens the next probation.
+//! A loss in the state `Returning` is a relapse: it belongs to the same episode and lengthens the next probation.
 
 use std::time::{Duration, Instant};
 
@@ -17,44 +17,45 @@
 use crate::settings::Settings;
 use crate::state::ZoneState;
 
-/// Machines to which calls must have failed for a verdict, if half of those out of reach are more.
-const ENOUGH_CALLS: usize = 8;
-/// Share of the machines that must report in time for a step of the ramp to be a good one.
-const NEARLY_ALL: f64 = 0.9;
-/// The share for a suspicion, divided by this, ends it.
-const HYSTERESIS: f64 = 2.0;
-/// A penalty below this is forgotten.
-const FORGOTTEN: f64 = 0.1;
+/// Number of machines to which calls must have failed before a zone is lost, unless half of those out of contact
+/// are fewer.
+const MAX_REQUIRED_CALL_FAILURES: usize = 8;
+/// Share of the machines that must report in time before a step of the ramp may raise its rate.
+const MIN_REPORTING_SHARE: f64 = 0.9;
+/// A suspicion ends, and a returning zone relapses, only below the configured share divided by this factor.
+const HYSTERESIS_FACTOR: f64 = 2.0;
+/// A smaller penalty of a healthy zone is not recorded.
+const MIN_RECORDED_PENALTY: f64 = 0.1;
 
 /// A change of a zone's state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Transition {
     /// The zone.
     pub zone: String,
-    /// The state before.
+    /// The previous state.
     pub from: ZoneState,
-    /// The state now.
+    /// The new state.
     pub to: ZoneState,
-    /// Why.
+    /// The evidence for the transition.
     pub evidence: Evidence,
-    /// The zone's episode.
+    /// The zone's current episode.
     pub episode: u64,
-    /// Time since the first sign.
+    /// Time from the first sign until the transition.
     pub took: Duration,
 }
 
-/// What is known beside the zone's own machines.
+/// Observations of a zone apart from its own machines.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ZoneContext {
-    /// Most of a sample of its machines did not answer.
+    /// Whether most of a sample of its machines did not respond.
     pub sampled_partitioned: bool,
-    /// A controller in the zone answers.
+    /// Whether a controller in the zone responds.
     pub controller_responds: bool,
-    /// What is out of reach may be judged: it is not this node that is.
+    /// Whether missing contact is evidence against the zone, and not a sign that this node is unreachable.
     pub can_judge: bool,
 }
 
-/// A zone.
+/// The state of a zone and the history that its next transitions depend on.
 #[derive(Clone, Debug)]
 pub struct Zone {
     state: ZoneState,
@@ -62,15 +63,15 @@
     episode: u64,
     lost_at: Option<Instant>,
     penalty: Penalty,
-    /// When the sign that may lead to the next state was first seen.
+    /// When the first sign of the next transition was observed.
     sign_since: Option<Instant>,
-    /// Since when the zone has been out of reach enough for a verdict.
-    out_since: Option<Instant>,
+    /// Since when the conditions for a loss have been met.
+    loss_conditions_since: Option<Instant>,
     ramp: Option<Ramp>,
 }
 
 impl Zone {
-    /// A healthy zone.
+    /// Creates a healthy zone without penalty.
     pub fn new(now: Instant) -> Zone {
         Zone {
             state: ZoneState::Healthy,
@@ -79,37 +80,37 @@
             lost_at: None,
             penalty: Penalty::default(),
             sign_since: None,
-            out_since: None,
+            loss_conditions_since: None,
             ramp: None,
         }
     }
 
-    /// Its state.
+    /// The state of the zone.
     pub fn state(&self) -> ZoneState {
         self.state
     }
 
-    /// Since when it has been in this state.
+    /// When the zone entered its state.
     pub fn since(&self) -> Instant {
         self.since
     }
 
-    /// How often it was evacuated.
+    /// Number of evacuations of the zone.
     pub fn episode(&self) -> u64 {
         self.episode
     }
 
-    /// When it was last lost.
+    /// When the zone was last lost.
     pub fn lost_at(&self) -> Option<Instant> {
         self.lost_at
     }
 
-    /// The ramp by which it is filled, while it returns.
+    /// The admission control of the zone while it is returning.
     pub fn ramp(&self) -> Option<&Ramp> {
         self.ramp.as_ref()
     }
 
-    /// By how much the flap penalty lengthens probation and slows the ramp now.
+    /// Factor by which the flap penalty lengthens probation and slows the ramp now.
     pub fn flap_factor(&self, now: Instant, settings: &Settings) -> f64 {
         self.penalty.factor(now, settings.penalty_half_life)
     }
@@ -118,7 +119,7 @@
         self.ramp.as_mut()
     }
 
-    /// How long its probation is now.
+    /// Length of the zone's probation after its last loss.
     pub fn probation(&self, settings: &Settings) -> Duration {
         let factor = self.penalty.factor(self.lost_at.unwrap_or(self.since), settings.penalty_half_life);
         settings.probation.mul_f64(factor).min(settings.max_probation)
@@ -129,97 +130,103 @@
         self.penalty.value(now, settings.penalty_half_life)
     }
 
-    /// Judges the zone by what is seen of it now.
+    /// Applies an observation; returns the previous state, the evidence and the time since the first sign if the
+    /// state changes.
     pub(crate) fn observe(
         &mut self,
         now: Instant,
         view: &ZoneView,
-        around: ZoneContext,
+        context: ZoneContext,
         settings: &Settings,
     ) -> Option<(ZoneState, Evidence, Duration)> {
         if let Some(ramp) = &mut self.ramp {
-            let whole = view.in_time as f64 >= view.machines as f64 * NEARLY_ALL;
-            ramp.tick(now, view.cpus, view.largest_machine_cpus, whole);
+            let mostly_reporting = view.in_time as f64 >= view.machines as f64 * MIN_REPORTING_SHARE;
+            ramp.tick(now, view.cpus, view.largest_machine_cpus, mostly_reporting);
         }
         let next = match self.state {
-            ZoneState::Healthy => suspicion(view, around, settings).map(|evidence| (ZoneState::Suspect, evidence)),
-            ZoneState::Suspect => self.verdict(now, view, around, settings),
-            ZoneState::Lost => self.sign_of_return(now, view, around, settings),
-            ZoneState::Returning => self.relapse_or_end(now, view, around, settings),
+            ZoneState::Healthy => {
+                suspicion_evidence(view, context, settings).map(|evidence| (ZoneState::Suspect, evidence))
+            }
+            ZoneState::Suspect => self.confirm_or_clear_suspicion(now, view, context, settings),
+            ZoneState::Lost => self.return_evidence(now, view, context, settings),
+            ZoneState::Returning => self.relapse_or_end(now, view, context, settings),
         };
         let (state, evidence) = next?;
         let from = self.state;
-        let took = self.sign_since.map_or(Duration::ZERO, |sign| now.saturating_duration_since(sign));
+        let since_first_sign = self.sign_since.map_or(Duration::ZERO, |sign| now.saturating_duration_since(sign));
         self.enter(now, state, settings);
-        Some((from, evidence, took))
+        Some((from, evidence, since_first_sign))
     }
 
-    fn verdict(
+    /// Decides whether a suspect zone is lost or healthy again.
+    fn confirm_or_clear_suspicion(
         &mut self,
         now: Instant,
         view: &ZoneView,
-        around: ZoneContext,
+        context: ZoneContext,
         settings: &Settings,
     ) -> Option<(ZoneState, Evidence)> {
         let ZoneView { machines: of, out_of_contact: out, unreachable: failed, .. } = *view;
-        if view.out_of_contact_share() < settings.suspect_share / HYSTERESIS && !around.sampled_partitioned {
+        if view.out_of_contact_share() < settings.suspect_share / HYSTERESIS_FACTOR && !context.sampled_partitioned {
             return Some((ZoneState::Healthy, Evidence::MachinesBack { out, of }));
         }
-        // Reports that are late alone may be a slow network: calls must have failed too.
-        let called = failed >= out.div_ceil(2).min(ENOUGH_CALLS);
-        let beyond_reach = out >= settings.min_machines && view.out_of_contact_share() >= settings.lost_share;
-        if !(called && beyond_reach && around.can_judge) {
-            self.out_since = None;
+        // Late reports alone may be due to a slow network: calls must have failed too.
+        let calls_failed = failed >= out.div_ceil(2).min(MAX_REQUIRED_CALL_FAILURES);
+        let share_reached = out >= settings.min_machines && view.out_of_contact_share() >= settings.lost_share;
+        if !(calls_failed && share_reached && context.can_judge) {
+            self.loss_conditions_since = None;
             return None;
         }
-        let since = *self.out_since.get_or_insert(now);
+        let since = *self.loss_conditions_since.get_or_insert(now);
         let confirmed = now.saturating_duration_since(since) >= settings.lost_confirmation;
         confirmed.then_some((ZoneState::Lost, Evidence::CallsFailed { failed, out }))
     }
 
-    fn sign_of_return(
+    /// Returns the evidence that a lost zone is reachable again.
+    fn return_evidence(
         &mut self,
         now: Instant,
         view: &ZoneView,
-        around: ZoneContext,
+        context: ZoneContext,
         settings: &Settings,
     ) -> Option<(ZoneState, Evidence)> {
         let ZoneView { machines: of, in_time, .. } = *view;
         let evidence = if of > 0 {
             self.sign_since = None;
-            let back = in_time > 0 && share(in_time, of) >= settings.return_share;
-            back.then_some(Evidence::ReportsInTime { in_time, of })
+            let is_back = in_time > 0 && share(in_time, of) >= settings.return_share;
+            is_back.then_some(Evidence::ReportsInTime { in_time, of })
         } else {
             let empty_since = *self.sign_since.get_or_insert(now);
-            let waited = now.saturating_duration_since(empty_since) >= self.probation(settings);
-            if around.controller_responds {
+            let probation_passed = now.saturating_duration_since(empty_since) >= self.probation(settings);
+            if context.controller_responds {
                 Some(Evidence::ControllerAnswers)
             } else {
-                waited.then_some(Evidence::NoMachines)
+                probation_passed.then_some(Evidence::NoMachines)
             }
         };
         evidence.map(|evidence| (ZoneState::Returning, evidence))
     }
 
+    /// Decides whether a returning zone is lost again or healthy.
     fn relapse_or_end(
         &mut self,
         now: Instant,
         view: &ZoneView,
-        around: ZoneContext,
+        context: ZoneContext,
         settings: &Settings,
     ) -> Option<(ZoneState, Evidence)> {
         let ZoneView { machines: of, out_of_contact: out, in_time, .. } = *view;
-        let gone = out >= settings.min_machines && view.out_of_contact_share() >= settings.suspect_share;
-        if gone && share(in_time, of) < settings.return_share / HYSTERESIS && around.can_judge {
+        let out_of_contact = out >= settings.min_machines && view.out_of_contact_share() >= settings.suspect_share;
+        if out_of_contact && share(in_time, of) < settings.return_share / HYSTERESIS_FACTOR && context.can_judge {
             return Some((ZoneState::Lost, Evidence::MachinesOut { out, of }));
         }
-        let passed = now.saturating_duration_since(self.since) >= self.probation(settings);
-        let open = self.ramp.as_ref().is_none_or(Ramp::is_open);
-        let whole = view.out_of_contact_share() < settings.suspect_share / HYSTERESIS;
-        (passed && open && whole).then_some((ZoneState::Healthy, Evidence::ProbationPassed))
+        let probation_passed = now.saturating_duration_since(self.since) >= self.probation(settings);
+        let ramp_open = self.ramp.as_ref().is_none_or(Ramp::is_open);
+        let in_contact = view.out_of_contact_share() < settings.suspect_share / HYSTERESIS_FACTOR;
+        (probation_passed && ramp_open && in_contact).then_some((ZoneState::Healthy, Evidence::ProbationPassed))
     }
 
-    /// Notes the first sign of what is not judged yet, so that the time that a verdict takes is known.
+    /// Records the first sign of a failure, so that the time until its detection can be reported.
     pub(crate) fn note_first_sign(&mut self, now: Instant, view: &ZoneView) {
         if self.state != ZoneState::Healthy {
             return;
@@ -227,11 +234,12 @@
         self.sign_since = if view.out_of_contact > 0 { self.sign_since.or(Some(now)) } else { None };
     }
 
+    /// Enters a state and resets what belongs to the previous one.
     fn enter(&mut self, now: Instant, state: ZoneState, settings: &Settings) {
-        let relapse = self.state == ZoneState::Returning;
+        let is_relapse = self.state == ZoneState::Returning;
         if state == ZoneState::Lost {
             // A relapse is part of the same evacuation.
-            self.episode += u64::from(!relapse);
+            self.episode += u64::from(!is_relapse);
             self.penalty.add_loss(now, settings.penalty_half_life);
             self.lost_at = Some(now);
         }
@@ -239,7 +247,7 @@
             self.sign_since = None;
         }
         self.ramp = (state == ZoneState::Returning).then(|| self.new_ramp(now, settings));
-        self.out_since = None;
+        self.loss_conditions_since = None;
         self.state = state;
         self.since = now;
     }
@@ -248,32 +256,32 @@
         Ramp::new(now, self.flap_factor(now, settings), settings)
     }
 
-    /// Ends probation at once, as operators wish.
+    /// Ends probation at once, on request of the operators.
     pub(crate) fn end_probation(&mut self, now: Instant) {
         if self.state == ZoneState::Returning {
             (self.state, self.since, self.ramp) = (ZoneState::Healthy, now, None);
         }
     }
 
-    /// Its durable form, if there is something to keep.
+    /// Returns the zone's record, or none if it is healthy and has no significant penalty.
     pub(crate) fn to_record(&self, zone: &str, now: Instant, wall_ms: u64, settings: &Settings) -> Option<ZoneRecord> {
-        let penalty_left = self.penalty(now, settings);
-        if self.state == ZoneState::Healthy && penalty_left < FORGOTTEN {
+        let current_penalty = self.penalty(now, settings);
+        if self.state == ZoneState::Healthy && current_penalty < MIN_RECORDED_PENALTY {
             return None;
         }
-        let ms_at = |at: Instant| wall_ms.saturating_sub(now.saturating_duration_since(at).as_millis() as u64);
+        let wall_ms_at = |at: Instant| wall_ms.saturating_sub(now.saturating_duration_since(at).as_millis() as u64);
         let lost_at = self.lost_at.unwrap_or(self.since);
         Some(ZoneRecord {
             zone: zone.to_owned(),
             state: self.state,
-            since_ms: ms_at(self.since),
+            since_ms: wall_ms_at(self.since),
             episode: self.episode,
-            lost_ms: ms_at(lost_at),
+            lost_ms: wall_ms_at(lost_at),
             penalty: self.penalty.value(lost_at, settings.penalty_half_life),
         })
     }
 
-    /// A zone as an earlier leader left it. Clocks differ: what lies in the future is now.
+    /// Restores a zone from the record of an earlier leader. Since clocks differ, times in the future count as now.
     pub(crate) fn from_record(record: &ZoneRecord, now: Instant, wall_ms: u64, settings: &Settings) -> Zone {
         let at = |ms: u64| now.checked_sub(Duration::from_millis(wall_ms.saturating_sub(ms))).unwrap_or(now);
         let lost_at = at(record.lost_ms);
@@ -285,19 +293,20 @@
             penalty: Penalty::new(record.penalty, lost_at),
             ..Zone::new(now)
         };
-        // How far it was filled is not recorded: the ramp begins anew.
+        // The progress of the ramp is not recorded, so it begins again.
         zone.ramp = (zone.state == ZoneState::Returning).then(|| zone.new_ramp(now, settings));
         zone
     }
 }
 
-fn suspicion(view: &ZoneView, around: ZoneContext, settings: &Settings) -> Option<Evidence> {
+/// Returns the evidence for suspecting a healthy zone.
+fn suspicion_evidence(view: &ZoneView, context: ZoneContext, settings: &Settings) -> Option<Evidence> {
     let ZoneView { machines: of, out_of_contact: out, .. } = *view;
-    if !around.can_judge {
+    if !context.can_judge {
         return None;
     }
     if out >= settings.min_machines && view.out_of_contact_share() >= settings.suspect_share {
         return Some(Evidence::MachinesOut { out, of });
     }
-    around.sampled_partitioned.then_some(Evidence::SampleFailed)
+    context.sampled_partitioned.then_some(Evidence::SampleFailed)
 }
--- a/crates/failover/tests/zones.rs
+++ b/crates/failover/tests/zones.rs
@@ -1,4 +1,5 @@
-//! Zones by the evidence that is fed in: verdicts, relapses, probation, and what a new leader takes over.
+//! Tests of zone states by the observations passed in: losses, relapses, probation, and the state that a new leader
+//! takes over.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -11,14 +12,15 @@
 
 const WALL_MS: u64 = 1_700_000_000_000;
 
-/// Three zones of ten machines of 16 CPUs, under one clock.
-struct Story {
+/// Three zones of ten machines with 16 CPUs each, and a simulated clock.
+struct Scenario {
     start: Instant,
-    at: Duration,
+    elapsed: Duration,
     failover: Failover,
     fleet: FleetView,
 }
 
+/// Returns the view of a zone of which `out` machines are out of contact and `failed` fail direct calls.
 fn view(out: usize, failed: usize) -> ZoneView {
     let (machines, cpus) = (10, 16.0 * (10 - out) as f64);
     let in_time = machines - out;
@@ -27,30 +29,30 @@
     ZoneView { tasks_out_of_contact: out, cpus, largest_machine_cpus: 16.0, ..zone }
 }
 
-impl Story {
-    fn new() -> Story {
+impl Scenario {
+    fn new() -> Scenario {
         let zones: BTreeMap<String, ZoneView> = ["a", "b", "c"].map(|zone| (zone.to_owned(), view(0, 0))).into();
         let fleet = FleetView { zones, other_controllers: 2, responding_controllers: 2, ..FleetView::default() };
-        Story { start: Instant::now(), at: Duration::ZERO, failover: Failover::new(Settings::default()), fleet }
+        Scenario { start: Instant::now(), elapsed: Duration::ZERO, failover: Failover::new(Settings::default()), fleet }
     }
 
     fn now(&self) -> Instant {
-        self.start + self.at
+        self.start + self.elapsed
     }
 
     fn set(&mut self, zone: &str, out: usize, failed: usize) {
         self.fleet.zones.insert(zone.into(), view(out, failed));
     }
 
-    /// Lets time pass; what the last look led to.
-    fn pass(&mut self, ms: u64) -> Observation {
+    /// Advances the clock with an observation every 300 ms; returns their combined results.
+    fn advance(&mut self, ms: u64) -> Observation {
         let mut all = Observation::default();
         for _ in 0..ms.div_ceil(300) {
-            self.at += Duration::from_millis(300);
-            let seen = self.failover.observe(self.now(), &self.fleet);
-            all.transitions.extend(seen.transitions);
-            all.minority = seen.minority;
-            all.finished_evacuation = all.finished_evacuation.or(seen.finished_evacuation);
+            self.elapsed += Duration::from_millis(300);
+            let observation = self.failover.observe(self.now(), &self.fleet);
+            all.transitions.extend(observation.transitions);
+            all.minority = observation.minority;
+            all.finished_evacuation = all.finished_evacuation.or(observation.finished_evacuation);
         }
         all
     }
@@ -59,151 +61,163 @@
         self.failover.state(zone)
     }
 
+    /// Lets a healthy or returning zone be lost.
     fn lose(&mut self, zone: &str) {
         self.set(zone, 10, 10);
-        self.pass(2100);
+        self.advance(2100);
         assert_eq!(self.state(zone), ZoneState::Lost);
     }
 }
 
 #[test]
-fn reports_that_are_late_alone_are_no_verdict_and_failed_calls_are_after_a_while() {
-    let mut story = Story::new();
-    story.set("b", 10, 0);
-    let seen = story.pass(3000);
-    assert_eq!(seen.transitions[0].evidence, Evidence::MachinesOut { out: 10, of: 10 });
-    assert_eq!(story.state("b"), ZoneState::Suspect);
-    story.set("b", 10, 9);
-    assert!(story.pass(300).transitions.is_empty(), "judged before it was confirmed");
-    let seen = story.pass(900);
-    assert_eq!((seen.transitions[0].to, seen.transitions[0].episode), (ZoneState::Lost, 1));
-    assert!(seen.transitions[0].took >= Duration::from_secs(3), "{:?}", seen.transitions);
-    assert_eq!(story.failover.access(story.now(), "b"), Access::Closed);
+fn late_reports_make_a_zone_suspect_and_failed_calls_make_it_lost_after_a_while() {
+    let mut scenario = Scenario::new();
+    scenario.set("b", 10, 0);
+    let observation = scenario.advance(3000);
+    assert_eq!(observation.transitions[0].evidence, Evidence::MachinesOut { out: 10, of: 10 });
+    assert_eq!(scenario.state("b"), ZoneState::Suspect);
+    scenario.set("b", 10, 9);
+    assert!(scenario.advance(300).transitions.is_empty(), "lost before the confirmation time");
+    let observation = scenario.advance(900);
+    assert_eq!((observation.transitions[0].to, observation.transitions[0].episode), (ZoneState::Lost, 1));
+    assert!(observation.transitions[0].took >= Duration::from_secs(3), "{:?}", observation.transitions);
+    assert_eq!(scenario.failover.access(scenario.now(), "b"), Access::Closed);
 }
 
 #[test]
-fn half_a_zone_stays_suspect_and_is_paused_for_a_moment_only() {
-    let mut story = Story::new();
-    story.set("b", 6, 6);
-    story.pass(900);
-    assert_eq!((story.state("b"), story.failover.access(story.now(), "b")), (ZoneState::Suspect, Access::Paused));
-    story.pass(60_000);
-    assert_eq!((story.state("b"), story.failover.access(story.now(), "b")), (ZoneState::Suspect, Access::Open));
-    story.set("b", 2, 2);
-    story.pass(300);
-    assert_eq!(story.state("b"), ZoneState::Healthy);
+fn a_half_failed_zone_stays_suspect_and_is_paused_briefly() {
+    let mut scenario = Scenario::new();
+    scenario.set("b", 6, 6);
+    scenario.advance(900);
+    assert_eq!(
+        (scenario.state("b"), scenario.failover.access(scenario.now(), "b")),
+        (ZoneState::Suspect, Access::Paused)
+    );
+    scenario.advance(60_000);
+    assert_eq!(
+        (scenario.state("b"), scenario.failover.access(scenario.now(), "b")),
+        (ZoneState::Suspect, Access::Open)
+    );
+    scenario.set("b", 2, 2);
+    scenario.advance(300);
+    assert_eq!(scenario.state("b"), ZoneState::Healthy);
 }
 
 #[test]
-fn a_wave_that_takes_a_zones_spot_machines_is_no_loss_of_the_zone() {
-    let mut story = Story::new();
-    story.fleet.zones.insert("b".into(), ZoneView { ordinary: 2, ordinary_out_of_contact: 0, ..view(8, 8) });
-    story.pass(6000);
-    assert_eq!(story.state("b"), ZoneState::Healthy);
-    story.fleet.zones.insert("b".into(), ZoneView { ordinary: 2, ordinary_out_of_contact: 2, ..view(10, 10) });
-    story.pass(2100);
-    assert_eq!(story.state("b"), ZoneState::Lost);
+fn reclaimed_spot_machines_do_not_make_their_zone_lost() {
+    let mut scenario = Scenario::new();
+    scenario.fleet.zones.insert("b".into(), ZoneView { ordinary: 2, ordinary_out_of_contact: 0, ..view(8, 8) });
+    scenario.advance(6000);
+    assert_eq!(scenario.state("b"), ZoneState::Healthy);
+    scenario.fleet.zones.insert("b".into(), ZoneView { ordinary: 2, ordinary_out_of_contact: 2, ..view(10, 10) });
+    scenario.advance(2100);
+    assert_eq!(scenario.state("b"), ZoneState::Lost);
 }
 
 #[test]
-fn a_node_that_seems_cut_off_judges_nothing_and_gives_way_once() {
-    let mut story = Story::new();
-    (story.fleet.responding_controllers, story.fleet.workers_reconnecting) = (0, true);
-    story.set("a", 10, 10);
-    story.set("b", 10, 10);
-    assert!(!story.pass(900).minority, "workers still look for it");
-    story.fleet.workers_reconnecting = false;
-    assert!(story.pass(3000).minority);
-    assert_eq!((story.state("a"), story.state("b")), (ZoneState::Healthy, ZoneState::Healthy));
-    // No other could lead: the others are cut off.
-    story.fleet.stepped_down = true;
-    assert!(!story.pass(3000).minority);
-    assert_eq!((story.state("a"), story.state("b")), (ZoneState::Lost, ZoneState::Lost));
+fn a_partitioned_node_judges_no_zone_and_steps_down_once() {
+    let mut scenario = Scenario::new();
+    (scenario.fleet.responding_controllers, scenario.fleet.workers_reconnecting) = (0, true);
+    scenario.set("a", 10, 10);
+    scenario.set("b", 10, 10);
+    assert!(!scenario.advance(900).minority, "workers are still looking for this leader");
+    scenario.fleet.workers_reconnecting = false;
+    assert!(scenario.advance(3000).minority);
+    assert_eq!((scenario.state("a"), scenario.state("b")), (ZoneState::Healthy, ZoneState::Healthy));
+    // It leads again, since the other controllers are partitioned.
+    scenario.fleet.stepped_down = true;
+    assert!(!scenario.advance(3000).minority);
+    assert_eq!((scenario.state("a"), scenario.state("b")), (ZoneState::Lost, ZoneState::Lost));
 }
 
 #[test]
-fn a_relapse_is_the_same_episode_and_lengthens_probation() {
-    let mut story = Story::new();
+fn a_relapse_belongs_to_the_same_episode_and_lengthens_probation() {
+    let mut scenario = Scenario::new();
     let settings = Settings::default();
     let mut probations = Vec::new();
     for _ in 0..3 {
-        story.lose("b");
-        story.set("b", 0, 0);
-        assert_eq!(story.pass(300).transitions[0].evidence, Evidence::ReportsInTime { in_time: 10, of: 10 });
-        let zone = story.failover.zone("b").expect("seen");
+        scenario.lose("b");
+        scenario.set("b", 0, 0);
+        assert_eq!(scenario.advance(300).transitions[0].evidence, Evidence::ReportsInTime { in_time: 10, of: 10 });
+        let zone = scenario.failover.zone("b").expect("observed");
         assert_eq!(zone.episode(), 1);
         probations.push(zone.probation(&settings));
-        story.pass(60_000);
+        scenario.advance(60_000);
     }
     assert!(probations[0] == settings.probation && probations[0] < probations[1] && probations[1] < probations[2]);
-    story.pass(probations[2].as_millis() as u64);
-    assert_eq!(story.state("b"), ZoneState::Healthy);
-    story.lose("b");
-    assert_eq!(story.failover.zone("b").expect("seen").episode(), 2, "a loss of a healthy zone is a new one");
+    scenario.advance(probations[2].as_millis() as u64);
+    assert_eq!(scenario.state("b"), ZoneState::Healthy);
+    scenario.lose("b");
+    assert_eq!(
+        scenario.failover.zone("b").expect("observed").episode(),
+        2,
+        "the loss of a healthy zone begins a new episode"
+    );
 }
 
 #[test]
-fn a_zone_without_machines_returns_by_its_controller_or_after_a_probation() {
-    for answers in [true, false] {
-        let mut story = Story::new();
-        story.lose("b");
-        story.fleet.zones.insert("b".into(), ZoneView::default());
-        if answers {
-            story.fleet.zones_with_controller.insert("b".into());
+fn a_zone_without_machines_returns_when_its_controller_responds_or_after_a_probation() {
+    for responds in [true, false] {
+        let mut scenario = Scenario::new();
+        scenario.lose("b");
+        scenario.fleet.zones.insert("b".into(), ZoneView::default());
+        if responds {
+            scenario.fleet.zones_with_controller.insert("b".into());
         }
-        story.pass(3000);
-        assert_eq!(story.state("b") == ZoneState::Returning, answers);
-        story.pass(120_000);
-        assert_ne!(story.state("b"), ZoneState::Lost);
+        scenario.advance(3000);
+        assert_eq!(scenario.state("b") == ZoneState::Returning, responds);
+        scenario.advance(120_000);
+        assert_ne!(scenario.state("b"), ZoneState::Lost);
     }
 }
 
 #[test]
-fn a_new_leader_takes_over_state_episode_penalty_and_drained_machines_within_the_value() {
-    let mut story = Story::new();
-    story.lose("b");
+fn a_new_leader_takes_over_states_penalties_and_as_many_drained_machines_as_fit_into_the_record() {
+    let mut scenario = Scenario::new();
+    scenario.lose("b");
     let name = |n: usize| Name::from(format!("n-{n:06}"));
     for n in 0..1000 {
-        story
+        scenario
             .failover
             .record_drain(&name(n), DrainReasons { retiring: n != 7, quarantined: n == 7, straggling: false });
     }
-    assert!(story.failover.has_unwritten_changes());
-    let record = story.failover.to_record(story.now(), WALL_MS, 2048);
-    assert!(!story.failover.has_unwritten_changes());
+    assert!(scenario.failover.has_unwritten_changes());
+    let record = scenario.failover.to_record(scenario.now(), WALL_MS, 2048);
+    assert!(!scenario.failover.has_unwritten_changes());
     let text = serde_json::to_string(&record).expect("it encodes");
     assert!(text.len() <= 2048 && record.drained.retiring.len() > 50, "{} bytes", text.len());
-    let read: FailoverRecord = serde_json::from_str(&text).expect("it decodes");
-    let mut next = Failover::new(Settings::default());
-    next.adopt(&read, story.now() + Duration::from_secs(150), WALL_MS + 150_000);
-    let now = story.now() + Duration::from_secs(150);
-    let zone = next.zone("b").expect("adopted");
+    let decoded: FailoverRecord = serde_json::from_str(&text).expect("it decodes");
+    let mut next_leader = Failover::new(Settings::default());
+    next_leader.adopt(&decoded, scenario.now() + Duration::from_secs(150), WALL_MS + 150_000);
+    let now = scenario.now() + Duration::from_secs(150);
+    let zone = next_leader.zone("b").expect("adopted");
     assert_eq!((zone.state(), zone.episode()), (ZoneState::Lost, 1));
-    assert!((zone.penalty(now, next.settings()) - 0.5).abs() < 0.01, "half of it after a half-life");
-    assert!(next.recorded_drain(&name(7)).quarantined, "those that fail what they start come first");
+    assert!((zone.penalty(now, next_leader.settings()) - 0.5).abs() < 0.01, "the penalty halves after a half-life");
+    assert!(next_leader.recorded_drain(&name(7)).quarantined, "quarantined machines come first");
 }
 
 #[test]
-fn an_evacuation_ends_when_all_is_placed_or_after_its_time() {
+fn an_evacuation_ends_when_all_tasks_are_placed_or_after_its_time_limit() {
     for placed in [true, false] {
-        let mut story = Story::new();
-        story.lose("b");
+        let mut scenario = Scenario::new();
+        scenario.lose("b");
         let key = (Name::from("wk-000001"), 3);
-        assert!(story.failover.is_evacuating());
-        story.failover.task_displaced(&key, 1);
-        story.fleet.zones.insert("b".into(), ZoneView { tasks_out_of_contact: 0, ..view(10, 10) });
-        assert!(story.pass(30_000).finished_evacuation.is_none() && story.failover.is_evacuating());
+        assert!(scenario.failover.is_evacuating());
+        scenario.failover.task_displaced(&key, 1);
+        scenario.fleet.zones.insert("b".into(), ZoneView { tasks_out_of_contact: 0, ..view(10, 10) });
+        assert!(scenario.advance(30_000).finished_evacuation.is_none() && scenario.failover.is_evacuating());
         if placed {
-            story.failover.task_placed(story.now(), &key);
+            scenario.failover.task_placed(scenario.now(), &key);
         }
-        let ended = story.pass(if placed { 300 } else { 31_000 }).finished_evacuation.expect("it is over");
+        let ended =
+            scenario.advance(if placed { 300 } else { 31_000 }).finished_evacuation.expect("the evacuation has ended");
         assert_eq!((ended.tiers[1].displaced, ended.tiers[1].placed), (1, u64::from(placed)));
-        assert!(!story.failover.is_evacuating());
+        assert!(!scenario.failover.is_evacuating());
     }
 }
 
 #[test]
-fn the_ramp_doubles_while_all_is_well_halves_when_starts_are_lost_and_waits_for_the_rest() {
+fn the_ramp_doubles_on_success_halves_on_lost_starts_and_waits_for_missing_reports() {
     let (start, settings) = (Instant::now(), Settings::default());
     let second = |n: u64| start + Duration::from_secs(n);
     let mut ramp = Ramp::new(start, 1.0, &settings);
@@ -215,7 +229,7 @@
     ramp.consume(32.0);
     ramp.start_lost();
     ramp.tick(second(3), 160.0, 16.0, true);
-    assert!(ramp.admits(16.0) && !ramp.admits(33.0), "it did not slow down");
+    assert!(ramp.admits(16.0) && !ramp.admits(33.0), "the rate did not fall");
     for n in 4..9 {
         ramp.start_confirmed();
         ramp.tick(second(n), 160.0, 16.0, true);
@@ -224,7 +238,7 @@
 }
 
 #[test]
-fn a_penalty_halves_and_a_sample_tells_zones_from_the_fleet() {
+fn a_penalty_halves_and_a_sample_distinguishes_a_partitioned_zone_from_the_fleet() {
     let (now, half_life) = (Instant::now(), Duration::from_secs(100));
     let mut penalty = Penalty::default();
     penalty.add_loss(now, half_life);
@@ -244,16 +258,16 @@
 }
 
 #[test]
-fn tiers_follow_operators_then_priority_and_guarantee() {
+fn tiers_follow_the_settings_first_and_then_priority_and_guarantee() {
     let tier = |name: &str, class: &str| rushyoke_failover::Tier { name: name.into(), classes: vec![class.into()] };
     let settings = Settings { tiers: vec![tier("urgent", "sheets")], ..Settings::default() };
-    let of = |class, priority, guaranteed| settings.tier_of(&TierQuery { class, priority, guaranteed });
+    let tier_of = |class, priority, guaranteed| settings.tier_of(&TierQuery { class, priority, guaranteed });
     let order = [
-        of("sheets", Priority::BestEffort, false),
-        of("x", Priority::Production, false),
-        of("x", Priority::Normal, true),
-        of("x", Priority::Normal, false),
-        of("x", Priority::BestEffort, true),
+        tier_of("sheets", Priority::BestEffort, false),
+        tier_of("x", Priority::Production, false),
+        tier_of("x", Priority::Normal, true),
+        tier_of("x", Priority::Normal, false),
+        tier_of("x", Priority::BestEffort, true),
     ];
     assert_eq!(order, [0, 1, 2, 3, 4]);
     assert_eq!((settings.tier_name(0), settings.tier_name(4)), ("urgent", "best effort"));
