--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -1,5 +1,5 @@
-//! The leader's table of unfinished jobs: which tasks are done, where the others may be,
-//! and which wait. Also the form in which this stands in the state service.
+//! The leader's table of unfinished jobs: which tasks are done, where the others are placed, and
+//! which are waiting. Also defines the records that hold this state in the state service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,255 +8,286 @@
 use rushyoke_wire::job::{JobSpec, Priority};
 use serde::{Deserialize, Serialize};
 
+/// The name of a job or a machine.
 pub type Name = Arc<str>;
 
 /// A job and the number of one of its tasks.
 pub type TaskKey = (Name, u32);
 
-/// Tasks in one record. With every task on a machine of its own a record takes up to 8 KiB; where
-/// the store's values hold less, the tasks are written into the log again instead.
+/// Number of tasks in one page record. With every task on a different machine, a record takes up to
+/// 8 KiB; if the store's values hold less, the tasks are written to the log again instead.
 pub const TASKS_PER_PAGE: u32 = 80;
 
-/// Machines on which a job must have failed before the fault is sought in the job.
+/// Number of machines on which a job must have failed before the job itself is considered faulty.
 pub const FAULTY_JOB_MACHINES: usize = 3;
 
-/// What stands under `job/<id>`: all that a user can be told after the end.
+/// The value of `job/<id>`: the job's state, which remains readable after the job has ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobRecord {
     pub state: RecordState,
+    /// Number of tasks in the job.
     pub tasks: u32,
-    /// Jobs that must be done first, while it is open: it is cancelled if one of them is.
+    /// Dependencies of an open job. The job is cancelled if one of them is cancelled.
     #[serde(rename = "awaits", default, skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<String>,
 }
 
 impl JobRecord {
-    /// The record of a job that is over.
+    /// Returns the record of a job that has ended.
     pub fn terminal(state: RecordState, tasks: u32) -> JobRecord {
         JobRecord { state, tasks, dependencies: Vec::new() }
     }
 }
 
+/// The durable state of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RecordState {
+    /// Accepted and not finished.
     Open,
+    /// Every task has completed.
     Done,
+    /// Cancelled by a user or because a dependency was cancelled.
     Cancelled,
 }
 
-/// What stands under `live/<id>` until no task of the job can run any more.
+/// The value of `live/<id>`, which exists until no task of the job can run any more.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LiveRecord {
     pub spec: JobSpec,
-    /// Time of day of the submission, in milliseconds since 1970.
+    /// Submission time, in milliseconds since the Unix epoch.
     #[serde(rename = "at_ms")]
     pub submitted_ms: u64,
     pub cancelled: bool,
 }
 
-/// What stands under `log/<number>`: a segment of the log, with the state of the tasks that
-/// changed while it was the last one.
+/// The value of `log/<number>`: a log segment with the state of the tasks that changed while it was
+/// the newest segment.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SegmentRecord {
-    /// Machines named by `places`, with their addresses.
+    /// Names and addresses of the machines that the placements refer to by index.
     pub machines: Vec<(String, String)>,
     pub jobs: Vec<ChangedTasks>,
 }
 
-/// Tasks of one job in a segment; each stands in one of the first three lists.
+/// The changed tasks of one job in a segment. Each task is in exactly one of `placements`, `done`
+/// and `waiting`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ChangedTasks {
+    /// The job's id.
     pub job: String,
-    /// Task, index of its machine, attempt.
+    /// Placed tasks: task number, index of the machine, attempt.
     #[serde(rename = "places", default, skip_serializing_if = "Vec::is_empty")]
     pub placements: Vec<(u32, usize, u64)>,
+    /// Completed tasks.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub done: Vec<u32>,
-    /// Tasks that have neither a place nor an end.
+    /// Tasks that are neither placed nor done.
     #[serde(rename = "open", default, skip_serializing_if = "Vec::is_empty")]
     pub waiting: Vec<u32>,
-    /// Those among them that were restarted once by the eSplash step.
+    /// Tasks of the lists above that were restarted or moved once by speculation or rebalancing.
     #[serde(rename = "again", default, skip_serializing_if = "Vec::is_empty")]
     pub restarted: Vec<u32>,
-    /// How often those among them began anew because of their zone.
+    /// Number of reruns because of a zone failure, for the tasks of the lists above that had any.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub zone_reruns: Vec<(u32, u32)>,
 }
 
-/// What stands under `task/<id>/<page>`.
+/// The value of `task/<id>/<page>`: the state of up to [`TASKS_PER_PAGE`] consecutive tasks. Task
+/// numbers in it count from the first task of the page.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PageRecord {
-    /// Done tasks, as a bit map in hexadecimal, the page's first task in the lowest bit.
+    /// Bit map of the completed tasks in hexadecimal; the page's first task is the lowest bit of the
+    /// first byte.
     pub done: String,
-    /// Tasks that were restarted once by the eSplash step, counted within the page.
+    /// Tasks that were restarted or moved once by speculation or rebalancing.
     #[serde(rename = "again", default, skip_serializing_if = "Vec::is_empty")]
     pub restarted: Vec<u32>,
-    /// How often tasks began anew because of their zone, counted within the page.
+    /// Number of reruns because of a zone failure, for the tasks that had any.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub zone_reruns: Vec<(u32, u32)>,
-    /// Machines named by `places`, with their addresses.
+    /// Names and addresses of the machines that the placements refer to by index.
     pub machines: Vec<(String, String)>,
-    /// Task within the page, index of its machine, attempt.
+    /// Placed tasks: task number, index of the machine, attempt.
     #[serde(rename = "places")]
     pub placements: Vec<(u32, usize, u64)>,
 }
 
+/// Returns the key of a job's [`JobRecord`].
 pub fn job_key(id: &str) -> String {
     format!("job/{id}")
 }
 
+/// Returns the key of a job's [`LiveRecord`].
 pub fn live_key(id: &str) -> String {
     format!("live/{id}")
 }
 
+/// Returns the key of a [`PageRecord`].
 pub fn page_key(id: &str, page: u32) -> String {
     format!("task/{id}/{page}")
 }
 
+/// Returns the key of a [`SegmentRecord`].
 pub fn segment_key(number: u64) -> String {
     format!("log/{number:012}")
 }
 
-/// Splits `log/<number>`.
+/// Parses `log/<number>`.
 pub fn parse_segment_key(key: &str) -> Option<u64> {
     key.strip_prefix("log/")?.parse().ok()
 }
 
-/// Splits `task/<id>/<page>`.
+/// Parses `task/<id>/<page>`.
 pub fn parse_page_key(key: &str) -> Option<(&str, u32)> {
     let (id, page) = key.strip_prefix("task/")?.rsplit_once('/')?;
     Some((id, page.parse().ok()?))
 }
 
-/// Splits `wk-000412/3`.
+/// Parses a task name such as `wk-000412/3` into the job's id and the task number.
 pub fn parse_task(task: &str) -> Option<(&str, u32)> {
     let (id, index) = task.rsplit_once('/')?;
     Some((id, index.parse().ok()?))
 }
 
-/// How far a placed task is known to have come.
+/// Progress of a placed task, as known to this leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// Its place is not yet durable; no order may name it.
+    /// The placement is not durable yet; no order may name it.
     Planned,
-    /// Durable; ordered, but not yet seen on the machine.
+    /// The placement is durable; its start may have been ordered, but the machine has not reported it.
     Ordered,
-    /// Read from a record of an earlier leader; it may or may not be there.
+    /// Read from a record of an earlier leader; the task may or may not be on the machine.
     Inherited,
+    /// The machine is fetching the image.
     Fetching,
+    /// The task is running.
     Running,
+    /// The task was told to stop and is saving a checkpoint.
     Saving,
 }
 
 impl Stage {
-    /// Whether the task was seen on its machine by this leader.
+    /// Whether the machine has reported the task to this leader.
     pub fn is_reported(self) -> bool {
         matches!(self, Stage::Fetching | Stage::Running | Stage::Saving)
     }
 }
 
-/// That a task must leave its place.
+/// A pending request to stop a placed task.
 #[derive(Clone, Copy, Debug)]
 pub struct StopRequest {
-    /// Seconds that the task gets to save.
+    /// Grace period in which the task may save a checkpoint, in seconds.
     pub grace_s: f64,
-    /// When it was last put into a message.
+    /// When the stop was last included in a message to the worker.
     pub last_sent: Option<Instant>,
 }
 
 impl StopRequest {
-    /// A request that was not sent yet.
+    /// Returns a request that has not been sent yet.
     pub fn new(grace_s: f64) -> StopRequest {
         StopRequest { grace_s, last_sent: None }
     }
 
-    /// Whether the task must end at once.
+    /// Whether the task must stop without a grace period.
     pub fn is_immediate(&self) -> bool {
         self.grace_s <= 0.0
     }
 
-    /// Whether it leaves the task less time than an earlier one.
+    /// Whether the grace period is shorter than that of an earlier request.
     pub fn is_stricter_than(&self, earlier: &StopRequest) -> bool {
         self.grace_s < earlier.grace_s
     }
 }
 
-/// The one place where a task may be.
+/// The machine and attempt that a task is assigned to. A task has at most one placement.
 #[derive(Clone, Debug)]
 pub struct Placement {
     pub machine: Name,
     pub attempt: u64,
     pub stage: Stage,
     pub placed_at: Instant,
+    /// When this leader first saw the task running.
     pub running_since: Option<Instant>,
-    /// Set when the task must leave.
+    /// Set while the task must stop.
     pub stop: Option<StopRequest>,
-    /// Whether any start was ever sent by this leader.
+    /// Whether a start may have been sent to the machine, by this leader or an earlier one.
     pub start_sent: bool,
 }
 
+/// An unfinished job and the state of its tasks.
 #[derive(Clone, Debug)]
 pub struct Job {
     pub id: Name,
     pub spec: JobSpec,
+    /// Version of the keys `job/<id>` and `live/<id>`, which are always written together.
     pub version: u64,
     pub cancelled: bool,
-    /// Cancelled because a job that it needs is: that is not yet in its own record.
+    /// Cancelled because an ancestor is cancelled, which the job's own record does not say yet.
     pub orphaned: bool,
-    /// Jobs that it awaits and that are not known to be durably done.
+    /// Dependencies that are not known to be durably done.
     pub pending_dependencies: BTreeSet<Name>,
-    /// When it was submitted.
+    /// Submission time, in milliseconds since the Unix epoch.
     submitted_ms: u64,
-    /// When it was submitted, as far as the clocks tell, or when the last job that it awaits was done.
+    /// When the job could first run, in milliseconds since the Unix epoch: its submission, or the
+    /// completion of its last dependency.
     pub eligible_ms: u64,
-    /// The highest priority, and the most urgent deadline, of it and of those that need it.
+    /// The highest priority of the job and its dependents.
     pub effective_priority: Priority,
+    /// The earliest deadline of the job and its dependents, in milliseconds since the Unix epoch.
     pub effective_deadline_ms: Option<u64>,
-    /// The change of `job/<id>` to done is durable or under way.
+    /// Whether the change of `job/<id>` to done is durable or in progress.
     pub closing: bool,
+    /// Number of completed tasks.
     pub done_count: u32,
+    /// Bit map of the completed tasks.
     done_bits: Vec<u64>,
+    /// Placements by task number.
     pub placements: BTreeMap<u32, Placement>,
-    /// First task that never had a place.
+    /// The first task that was never placed.
     next_task: u32,
-    /// Tasks that wait for another attempt, and from when on.
+    /// Tasks that wait for another attempt, with the earliest time at which it may start.
     requeued: BTreeMap<u32, Instant>,
+    /// Tasks that were restarted or moved once by speculation or rebalancing.
     pub restarted: BTreeSet<u32>,
-    /// How often tasks began anew because of their zone.
+    /// Number of reruns because of a zone failure, by task number.
     pub zone_reruns: BTreeMap<u32, u32>,
-    /// Pages that stand in the store, with their versions.
+    /// Versions of the page records in the store, by page number.
     pub page_versions: BTreeMap<u32, u64>,
-    /// Machines on which a task of this job failed.
+    /// Machines on which a task of the job failed.
     pub failed_on: BTreeSet<Name>,
-    /// Tasks that failed since one last completed or ran for long.
+    /// Number of failed attempts since a task of the job last completed or ran for a long time.
     pub consecutive_failures: u32,
+    /// Number of running tasks.
     pub running_tasks: u32,
-    /// When a task of it was last placed, or this leader came to know it.
+    /// When a task of the job was last placed, or when this leader learned of the job.
     pub last_placed: Option<Instant>,
-    /// Tasks that may still be placed out of turn, since the job starved.
+    /// Number of tasks that may still be placed ahead of other jobs because the job was starved.
     pub starvation_credit: u32,
-    /// It starved: only services may stop its tasks, or it would starve again.
+    /// Whether the job was starved: only production jobs may preempt its tasks, or it would be starved
+    /// again.
     pub was_starved: bool,
-    /// Expected run time of a task: the owner's estimate, then what was seen.
+    /// Expected run time of a task: the user's estimate at first, then a moving average of observed runs.
     pub mean_run_s: f64,
 }
 
-/// What a job and each of its tasks that has a place, or waits for another, take of memory, about.
+/// Approximate memory of a job without its tasks.
 const JOB_BYTES: usize = 1500;
-const PLACE_BYTES: usize = 250;
-/// What a job that it awaits takes, in its description and in the index.
-const AWAIT_BYTES: usize = 300;
+/// Approximate memory of a placed or requeued task.
+const PLACEMENT_BYTES: usize = 250;
+/// Approximate memory of a dependency, in the job's spec and in the index of dependents.
+const DEPENDENCY_BYTES: usize = 300;
 
 impl Job {
-    /// Memory that it takes, about.
+    /// Returns the approximate memory that the job takes, in bytes.
     pub fn memory_bytes(&self) -> usize {
         JOB_BYTES
             + self.done_bits.len() * 8
-            + self.spec.awaits.len() * AWAIT_BYTES
-            + (self.placements.len() + self.requeued.len()) * PLACE_BYTES
+            + self.spec.awaits.len() * DEPENDENCY_BYTES
+            + (self.placements.len() + self.requeued.len()) * PLACEMENT_BYTES
     }
 
+    /// Returns a job of which no task has been placed.
     pub fn new(spec: JobSpec, submitted_ms: u64, version: u64, cancelled: bool) -> Job {
         let priority = spec.priority;
         let mut job = Job {
@@ -291,30 +322,32 @@
         job
     }
 
-    /// When the job itself is due; deadlines count from the submission.
+    /// Returns the job's own deadline, which is relative to its submission.
     pub fn own_deadline_ms(&self) -> Option<u64> {
-        self.spec.deadline_s.map(|due_s| self.submitted_ms.saturating_add((due_s * 1000.0) as u64))
+        self.spec.deadline_s.map(|deadline_s| self.submitted_ms.saturating_add((deadline_s * 1000.0) as u64))
     }
 
+    /// Whether a task has completed.
     pub fn is_done(&self, task: u32) -> bool {
         self.done_bits[task as usize / 64] & (1 << (task % 64)) != 0
     }
 
-    /// Marks a task done; false if it was already.
+    /// Marks a task as done. Returns `false` if it already was.
     pub fn mark_done(&mut self, task: u32) -> bool {
-        let fresh = !self.is_done(task);
-        if fresh {
+        let newly_done = !self.is_done(task);
+        if newly_done {
             self.done_bits[task as usize / 64] |= 1 << (task % 64);
             self.done_count += 1;
         }
-        fresh
+        newly_done
     }
 
+    /// Whether every task is done.
     pub fn is_complete(&self) -> bool {
         self.done_count == self.spec.tasks
     }
 
-    /// Tasks that have neither a place nor an end.
+    /// Returns the number of tasks that wait to be placed. It is 0 while the job is blocked.
     pub fn waiting_tasks(&self) -> u32 {
         if self.cancelled || self.is_blocked() {
             return 0;
@@ -322,45 +355,45 @@
         self.spec.tasks - self.next_task + self.requeued.len() as u32
     }
 
-    /// Whether jobs that it awaits are not done: until then it holds and wants nothing.
+    /// Whether a dependency is not done. Until then the job neither holds nor requests resources.
     pub fn is_blocked(&self) -> bool {
         !self.pending_dependencies.is_empty()
     }
 
-    /// Tasks not yet done.
+    /// Returns the number of tasks that are not done.
     pub fn unfinished_tasks(&self) -> u32 {
         self.spec.tasks - self.done_count
     }
 
-    /// The next task that may start now.
+    /// Returns the next task that may be placed now: a requeued task first, then one never placed.
     pub fn next_ready_task(&self, now: Instant) -> Option<u32> {
         if self.cancelled || self.is_blocked() {
             return None;
         }
-        let again = self.requeued.iter().find(|(_, from)| **from <= now).map(|(task, _)| *task);
-        again.or((self.next_task < self.spec.tasks).then_some(self.next_task))
+        let requeued = self.requeued.iter().find(|(_, not_before)| **not_before <= now).map(|(task, _)| *task);
+        requeued.or((self.next_task < self.spec.tasks).then_some(self.next_task))
     }
 
-    /// Whether a task that had a place waits for another attempt.
+    /// Whether a task that was placed before waits for another attempt.
     pub fn is_requeued(&self, task: u32) -> bool {
         self.requeued.contains_key(&task)
     }
 
-    /// Takes a task, as given by `peek`, out of the waiting ones.
+    /// Removes a task, as returned by `next_ready_task`, from the waiting tasks.
     pub fn dequeue(&mut self, task: u32) {
         if self.requeued.remove(&task).is_none() && task == self.next_task {
             self.next_task += 1;
         }
     }
 
-    /// Puts a task back among the waiting ones.
-    pub fn requeue(&mut self, task: u32, from: Instant) {
+    /// Returns an unfinished task to the waiting tasks; it may be placed from `not_before` on.
+    pub fn requeue(&mut self, task: u32, not_before: Instant) {
         if !self.is_done(task) && task < self.next_task {
-            self.requeued.insert(task, from);
+            self.requeued.insert(task, not_before);
         }
     }
 
-    /// The record of one page as memory has it.
+    /// Returns the record of one page from the state in memory.
     pub fn page_record(&self, page: u32, addr_of: impl Fn(&Name) -> String) -> PageRecord {
         let first = page * TASKS_PER_PAGE;
         let end = (first + TASKS_PER_PAGE).min(self.spec.tasks);
@@ -374,18 +407,18 @@
         record.done = bits.iter().map(|b| format!("{b:02x}")).collect();
         record.restarted = self.restarted.range(first..end).map(|t| t - first).collect();
         record.zone_reruns = self.zone_reruns.range(first..end).map(|(t, count)| (t - first, *count)).collect();
-        for (task, place) in self.placements.range(first..end) {
-            let known = record.machines.iter().position(|(name, _)| **name == *place.machine);
-            let index = known.unwrap_or_else(|| {
-                record.machines.push((place.machine.to_string(), addr_of(&place.machine)));
+        for (task, placement) in self.placements.range(first..end) {
+            let listed = record.machines.iter().position(|(name, _)| **name == *placement.machine);
+            let index = listed.unwrap_or_else(|| {
+                record.machines.push((placement.machine.to_string(), addr_of(&placement.machine)));
                 record.machines.len() - 1
             });
-            record.placements.push((task - first, index, place.attempt));
+            record.placements.push((task - first, index, placement.attempt));
         }
         record
     }
 
-    /// Takes over a page that an earlier leader wrote.
+    /// Restores the tasks of a page record that an earlier leader wrote.
     pub fn restore_page(&mut self, page: u32, version: u64, record: &PageRecord, now: Instant) {
         let first = page * TASKS_PER_PAGE;
         self.page_versions.insert(page, version);
@@ -407,8 +440,8 @@
         }
     }
 
-    /// Takes over tasks of a segment that was written later than what is known. A page
-    /// written since has newer states of its tasks.
+    /// Restores the changed tasks of a log segment with the given version. Segments are restored in the
+    /// order of their versions. Tasks whose page record has a newer version are skipped.
     pub fn restore_changes(
         &mut self,
         version: u64,
@@ -416,9 +449,10 @@
         machines: &[(String, String)],
         now: Instant,
     ) {
-        let pages = self.page_versions.clone();
+        let page_versions = self.page_versions.clone();
         let tasks = self.spec.tasks;
-        let newer = |task: u32| task < tasks && pages.get(&(task / TASKS_PER_PAGE)).is_none_or(|page| *page < version);
+        let newer =
+            |task: u32| task < tasks && page_versions.get(&(task / TASKS_PER_PAGE)).is_none_or(|page| *page < version);
         for task in changed.done.iter().copied().filter(|t| newer(*t)) {
             self.placements.remove(&task);
             self.mark_done(task);
@@ -435,11 +469,12 @@
         self.zone_reruns.extend(changed.zone_reruns.iter().copied().filter(|(t, _)| newer(*t)));
     }
 
+    /// Restores a placement that an earlier leader recorded, unless the task is done.
     fn restore_placement(&mut self, task: u32, machine: &str, attempt: u64, now: Instant) {
         if task >= self.spec.tasks || self.is_done(task) {
             return;
         }
-        let place = Placement {
+        let placement = Placement {
             machine: Name::from(machine),
             attempt,
             stage: Stage::Inherited,
@@ -448,10 +483,10 @@
             stop: None,
             start_sent: true,
         };
-        self.placements.insert(task, place);
+        self.placements.insert(task, placement);
     }
 
-    /// Works out which tasks wait once all records have been adopted.
+    /// Determines the waiting tasks after all records have been restored.
     pub fn rebuild_queue(&mut self, now: Instant) {
         let last_placed = self.placements.keys().next_back().map_or(0, |t| t + 1);
         let last_done = (0..self.spec.tasks).rev().find(|t| self.is_done(*t)).map_or(0, |t| t + 1);
@@ -463,14 +498,14 @@
         }
     }
 
-    /// Whether the job keeps off a machine where it failed. When the others are full a
-    /// faulty machine is the one with room, and would fail task after task. A job that
-    /// fails on several machines is at fault itself, and may try any.
+    /// Whether the job must not run on a machine where it failed. When the other machines are full, a
+    /// faulty machine is the one with free resources and would fail task after task. A job that fails
+    /// on [`FAULTY_JOB_MACHINES`] machines is faulty itself and may run on any.
     pub fn avoids(&self, machine: &Name) -> bool {
         self.failed_on.len() < FAULTY_JOB_MACHINES && self.failed_on.contains(machine)
     }
 
-    /// Learns from a finished run.
+    /// Updates the expected run time from a completed run.
     pub fn record_run(&mut self, run_s: f64) {
         self.consecutive_failures = 0;
         let weight = if self.done_count <= 1 { 0.5 } else { 0.2 };
