--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -1,4 +1,5 @@
-//! Where waiting tasks go: the choice of a machine. The order of jobs is in `pass`.
+//! Placement of waiting tasks: the choice of a machine for each task of a job. The order in which jobs
+//! are considered is in `pass`.
 
 mod pass;
 
@@ -14,33 +15,36 @@
 use crate::quota::Room;
 use crate::term::Term;
 
-/// What a machine that is empty counts for beside one that is full, in seconds: work is packed.
-const PACKING_S: f64 = 2.0;
-/// Share of a machine by which use must differ for its cost to differ, when work is spread.
-const ONE_MORE: f64 = 0.05;
-/// Machines weighed for a service's replica, in samples of a placement.
-const SERVICE_SAMPLES: usize = 8;
+/// Cost of an empty machine over a full one, in seconds, when work is packed onto few machines.
+const EMPTY_MACHINE_COST_S: f64 = 2.0;
+/// Difference in a machine's utilization, as a share, below which balanced placement treats two
+/// machines as equally good.
+const LEVEL_UTILIZATION_STEP: f64 = 0.05;
+/// Number of machines considered for a service's replica, as a multiple of the usual sample.
+const SERVICE_SAMPLE_FACTOR: usize = 8;
 
-/// How the tasks of a job are laid out over machines.
+/// How the tasks of a job are distributed over machines.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Way {
-    /// What is weighed changes with every task.
+enum Strategy {
+    /// One task per ranking, because each placement changes the ranking.
     OneByOne,
-    /// The machines are filled in their order.
-    Filling,
-    /// A task each on all machines that cost no more than the best does with one task more.
+    /// Each machine is filled before the next, in the order of the ranking.
+    Pack,
+    /// One task per ranking on each machine whose cost exceeds the lowest by at most `within_s` seconds.
     Level { within_s: f64 },
 }
 
-/// Tasks of a job to be placed on machines that were ranked for it.
+/// How many tasks of a job are to be placed on machines that were ranked for it, and how.
 struct Round<'a> {
     job: &'a Name,
-    most: u32,
+    /// Maximum number of tasks to place.
+    limit: u32,
+    /// Whether the job is beyond its team's guarantee.
     borrows: bool,
-    way: Way,
+    strategy: Strategy,
 }
 
-/// Whether a job's tasks may run on a machine like this.
+/// Whether a job's constraints on spot machines, machine types and zone allow the machine.
 pub(crate) fn meets_constraints(spec: &JobSpec, machine: &Machine) -> bool {
     (!machine.spot || spec.spot)
         && spec.types.as_ref().is_none_or(|types| types.contains(&machine.kind))
@@ -48,78 +52,85 @@
 }
 
 impl Term {
-    /// Places up to `most` tasks of a job; returns how many. `borrows` if it is beyond its team's guarantee.
-    fn place_job(&mut self, env: &mut Env, name: &Name, most: u32, borrows: bool) -> u32 {
+    /// Places up to `limit` tasks of a job and returns the number placed. `borrows` tells whether the job
+    /// is beyond its team's guarantee.
+    fn place_job(&mut self, env: &mut Env, name: &Name, limit: u32, borrows: bool) -> u32 {
         let mut placed = 0;
-        while placed < most {
+        while placed < limit {
             let job = &self.jobs[name];
-            let way = self.way_of(job);
+            let strategy = self.strategy(job);
             let ranked = self.rank(env, job, Room::of(&job.spec));
-            let mut reserve = self.reserve_left(env, job);
-            let round = Round { job: name, most: most - placed, borrows, way };
-            let count = self.place_round(env.steady(), &round, ranked, &mut reserve);
+            let mut available_cpus = self.cpus_outside_reserve(env, job);
+            let round = Round { job: name, limit: limit - placed, borrows, strategy };
+            let count = self.place_round(env.steady(), &round, ranked, &mut available_cpus);
             placed += count;
-            // A sample of the machines is filled: while a zone is evacuated no later tier goes before the rest.
-            if count == 0 || way == Way::Filling && !self.evacuates() {
+            // Only a sample of the machines was filled. Go on while a zone is evacuated, so that no later tier
+            // is placed before the remaining tasks.
+            if count == 0 || strategy == Strategy::Pack && !self.evacuates() {
                 break;
             }
         }
         placed
     }
 
-    fn way_of(&self, job: &Job) -> Way {
+    /// Returns the strategy by which a job's tasks are placed.
+    fn strategy(&self, job: &Job) -> Strategy {
         if job.spec.kind == Kind::Service || job.spec.spread || job.spec.one_zone {
-            return Way::OneByOne;
+            return Strategy::OneByOne;
         }
         match &self.balance {
-            Some(balancer) => Way::Level { within_s: balancer.pricing().crowding_s(job.mean_run_s, ONE_MORE) },
-            None => Way::Filling,
+            Some(balancer) => {
+                Strategy::Level { within_s: balancer.pricing().crowding_s(job.mean_run_s, LEVEL_UTILIZATION_STEP) }
+            }
+            None => Strategy::Pack,
         }
     }
 
-    /// Places tasks on machines in the order of their cost; returns how many.
-    fn place_round(&mut self, now: Instant, round: &Round, ranked: Vec<(f64, Name)>, reserve: &mut f64) -> u32 {
-        let least = ranked.first().map_or(0.0, |(cost, _)| *cost);
+    /// Places tasks on the ranked machines, and returns the number placed.
+    fn place_round(&mut self, now: Instant, round: &Round, ranked: Vec<(f64, Name)>, available_cpus: &mut f64) -> u32 {
+        let lowest_cost = ranked.first().map_or(0.0, |(cost, _)| *cost);
         let mut placed = 0;
         for (cost, machine) in ranked {
-            let each = match round.way {
-                Way::Filling => u32::MAX,
-                Way::OneByOne if placed > 0 => return placed,
-                Way::Level { within_s } if cost > least + within_s => return placed,
-                Way::OneByOne | Way::Level { .. } => 1,
+            let per_machine = match round.strategy {
+                Strategy::Pack => u32::MAX,
+                Strategy::OneByOne if placed > 0 => return placed,
+                Strategy::Level { within_s } if cost > lowest_cost + within_s => return placed,
+                Strategy::OneByOne | Strategy::Level { .. } => 1,
             };
-            let mut here = 0;
-            while here < each && placed < round.most && self.starts_there(now, round, &machine, reserve) {
-                here += 1;
+            let mut on_machine = 0;
+            while on_machine < per_machine
+                && placed < round.limit
+                && self.try_place_task(now, round, &machine, available_cpus)
+            {
+                on_machine += 1;
                 placed += 1;
             }
         }
         placed
     }
 
-    /// CPUs on ordinary machines that a job may take without touching what is kept for
-    /// services.
-    fn reserve_left(&self, env: &Env, job: &Job) -> f64 {
+    /// Returns the CPUs on on-demand machines that a job may take without using the reserve for services.
+    fn cpus_outside_reserve(&self, env: &Env, job: &Job) -> f64 {
         if job.spec.priority == Priority::Production {
             return f64::INFINITY;
         }
         self.free_on_demand_cpus(env.steady()) - self.renting.service_reserve(env)
     }
 
-    /// CPUs that are free on ordinary machines.
+    /// Returns the number of free CPUs on usable on-demand (not spot) machines.
     pub fn free_on_demand_cpus(&self, now: Instant) -> f64 {
-        let ordinary = self.machines.values().filter(|m| !m.spot && m.usable(now));
-        ordinary.map(|m| m.total.cpus - m.used.cpus).sum()
+        let on_demand = self.machines.values().filter(|m| !m.spot && m.usable(now));
+        on_demand.map(|m| m.total.cpus - m.used.cpus).sum()
     }
 
-    /// Plans one more task of the job on the machine, if limit and room allow.
-    fn starts_there(&mut self, now: Instant, round: &Round, machine: &Name, reserve: &mut f64) -> bool {
+    /// Places one more task of the job on the machine if the team's limit and the free resources allow.
+    fn try_place_task(&mut self, now: Instant, round: &Round, machine: &Name, available_cpus: &mut f64) -> bool {
         let name = round.job;
         let job = &self.jobs[name];
         let need = Room::of(&job.spec);
         let Some(task) = job.next_ready_task(now) else { return false };
         let target = &self.machines[machine];
-        let reserved = !target.spot && *reserve < need.cpus;
+        let reserved = !target.spot && *available_cpus < need.cpus;
         let admitted = self.zone_admits(target, need);
         if reserved
             || !admitted
@@ -128,25 +139,25 @@
         {
             return false;
         }
-        let ordinary = !target.spot;
+        let on_demand = !target.spot;
         if round.borrows && !self.evacuates() && !self.may_borrow(now, name) {
             return false;
         }
-        if ordinary {
-            *reserve -= need.cpus;
+        if on_demand {
+            *available_cpus -= need.cpus;
         }
         self.place_task(name, task, machine, now);
         true
     }
 
-    /// Gives a waiting task a place; it is ordered once that is durable.
+    /// Places a waiting task on a machine. Its start is ordered once the placement is durable.
     pub fn place_task(&mut self, name: &Name, task: u32, machine: &Name, now: Instant) {
         let attempt = self.attempt();
         let job = self.jobs.get_mut(name).expect("chosen");
         job.dequeue(task);
         job.last_placed = Some(now);
         job.starvation_credit = job.starvation_credit.saturating_sub(1);
-        let place = Placement {
+        let placement = Placement {
             machine: machine.clone(),
             attempt,
             stage: Stage::Planned,
@@ -155,7 +166,7 @@
             stop: None,
             start_sent: false,
         };
-        job.placements.insert(task, place);
+        job.placements.insert(task, placement);
         self.quotas.add(&job.spec);
         let target = self.machines.get_mut(machine).expect("chosen");
         target.hold((name.clone(), task), &job.spec);
@@ -174,17 +185,17 @@
         self.records.changed((name.clone(), task), Some(turn));
     }
 
-    /// Zones where one more task of the job may go; `None` for all.
+    /// Returns the zones in which one more task of the job may be placed, or `None` if any zone will do.
     pub fn eligible_zones(&self, job: &Job) -> Option<BTreeSet<String>> {
         if !job.spec.one_zone && !job.spec.spread {
             return None;
         }
         let mut counts: BTreeMap<String, u32> = self.zones.iter().map(|zone| (zone.clone(), 0)).collect();
         let mut unknown = 0;
-        for place in job.placements.values() {
-            match self.machines.get(&place.machine).and_then(|m| counts.get_mut(&m.zone)) {
+        for placement in job.placements.values() {
+            match self.machines.get(&placement.machine).and_then(|m| counts.get_mut(&m.zone)) {
                 Some(count) => *count += 1,
-                // A machine known from a record only may be in any zone.
+                // A machine known only from a record may be in any zone.
                 _ => unknown += 1,
             }
         }
@@ -197,19 +208,19 @@
                 return Some(used);
             }
             let need = Room::of(&job.spec);
-            // A zone that takes no work is chosen only if there is no other.
-            let room = |zone: &String| -> (bool, u32) {
-                let there = self.machines.values().filter(|m| m.zone == *zone && meets_constraints(&job.spec, m));
-                let room = there.map(|m| m.total.minus(m.used).times(need)).sum();
-                (!self.zone_is_closed(zone), room)
+            // A closed zone is chosen only if every zone is closed.
+            let open_and_capacity = |zone: &String| -> (bool, u32) {
+                let in_zone = self.machines.values().filter(|m| m.zone == *zone && meets_constraints(&job.spec, m));
+                let task_capacity = in_zone.map(|m| m.total.minus(m.used).times(need)).sum();
+                (!self.zone_is_closed(zone), task_capacity)
             };
-            return counts.into_keys().max_by_key(|zone| room(zone)).map(|zone| BTreeSet::from([zone]));
+            return counts.into_keys().max_by_key(|zone| open_and_capacity(zone)).map(|zone| BTreeSet::from([zone]));
         }
-        let most = job.spec.tasks.div_ceil(2);
-        Some(counts.into_iter().filter(|(_, n)| n + unknown < most).map(|(zone, _)| zone).collect())
+        let max_per_zone = job.spec.tasks.div_ceil(2);
+        Some(counts.into_iter().filter(|(_, n)| n + unknown < max_per_zone).map(|(zone, _)| zone).collect())
     }
 
-    /// The machines that could take one more task of a job, the best first.
+    /// Returns the machines that could take one more task of a job with their costs, the cheapest first.
     fn rank(&self, env: &mut Env, job: &Job, need: Room) -> Vec<(f64, Name)> {
         let now = env.steady();
         let zones = self.eligible_zones(job);
@@ -221,9 +232,9 @@
             .filter(|m| self.available_resources(m, &job.id).holds(need) && self.zone_admits(m, need))
             .filter(|m| !job.avoids(&m.name))
             .collect();
-        // With more machines than can be weighed for every task, a sample does; a larger one
-        // for services, which are few and wait for nothing but their image.
-        let sample = env.policy.sample * if job.spec.kind == Kind::Service { SERVICE_SAMPLES } else { 1 };
+        // A random sample bounds the work per task. Services get a larger one: they are few, and only the
+        // image delays their start.
+        let sample = env.policy.sample * if job.spec.kind == Kind::Service { SERVICE_SAMPLE_FACTOR } else { 1 };
         if fitting.len() > sample {
             fitting = fitting.into_iter().sample(&mut env.rng, sample);
         }
@@ -232,60 +243,69 @@
         ranked.into_iter().map(|(cost, m)| (cost, m.name.clone())).collect()
     }
 
-    /// What speaks against a machine for a task of the job, in seconds.
+    /// Returns the cost of placing a task of the job on a machine, in seconds.
     fn cost(&self, env: &Env, job: &Job, machine: &Machine) -> f64 {
         let crowding = self.crowding(job, machine);
-        // Services stand together on few machines, so that the others can be returned,
-        // but replicas of one service apart, so that one machine's end costs one.
-        let (hosting, mates) = if job.spec.kind == Kind::Service {
+        // Services share few machines, so that the others can be released, but the replicas of one service
+        // are kept apart, so that the loss of a machine costs one replica.
+        let (no_services, replicas) = if job.spec.kind == Kind::Service {
             let key = |task| (job.id.clone(), task);
-            let mates = machine.places.range(key(0)..=key(u32::MAX)).count();
-            (if machine.hosts_service() { 0.0 } else { 4.0 }, mates as f64 * 1.5)
+            let replicas = machine.places.range(key(0)..=key(u32::MAX)).count();
+            (if machine.hosts_service() { 0.0 } else { 4.0 }, replicas as f64 * 1.5)
         } else {
             (0.0, 0.0)
         };
         let retiring = if machine.retiring { 40.0 } else { 0.0 };
-        let kind = if job.spec.spot && !machine.spot { 3.0 } else { 0.0 };
-        let doubt = if job.failed_on.contains(&machine.name) { 60.0 } else { 0.0 };
-        let slow = if machine.straggler { 30.0 } else { 0.0 };
+        let on_demand = if job.spec.spot && !machine.spot { 3.0 } else { 0.0 };
+        let failed_before = if job.failed_on.contains(&machine.name) { 60.0 } else { 0.0 };
+        let straggler = if machine.straggler { 30.0 } else { 0.0 };
         let probation = self.probation_cost_s(env.steady(), job, machine);
-        self.image_fetch_s(env, job, machine) + crowding + hosting + mates + retiring + kind + doubt + slow + probation
+        self.image_fetch_s(env, job, machine)
+            + crowding
+            + no_services
+            + replicas
+            + retiring
+            + on_demand
+            + failed_before
+            + straggler
+            + probation
     }
 
-    /// What the use of a machine counts for, in seconds. With load spreading a run takes longer among
-    /// others; else the fuller machine goes first, so that others can be returned.
+    /// Returns the cost of a machine's utilization, in seconds. With rebalancing enabled, an array task is
+    /// expected to run longer on a busier machine. Otherwise fuller machines are preferred, so that the
+    /// others can be released.
     fn crowding(&self, job: &Job, machine: &Machine) -> f64 {
-        let free = (machine.total.cpus - machine.used.cpus) / machine.total.cpus.max(1.0);
+        let free_share = (machine.total.cpus - machine.used.cpus) / machine.total.cpus.max(1.0);
         match &self.balance {
             Some(balancer) if job.spec.kind == Kind::Array => {
-                let share = Room::of(&job.spec).dominant_share(machine.total);
-                let used = balancer.load().use_of(&machine.name).unwrap_or(1.0 - free);
-                balancer.pricing().crowding_s(job.mean_run_s, used + share)
+                let task_share = Room::of(&job.spec).dominant_share(machine.total);
+                let used = balancer.load().use_of(&machine.name).unwrap_or(1.0 - free_share);
+                balancer.pricing().crowding_s(job.mean_run_s, used + task_share)
             }
-            _ => PACKING_S * free,
+            _ => EMPTY_MACHINE_COST_S * free_share,
         }
     }
 
-    /// How long the job's image takes to be on the machine. Images that are fetched at
-    /// the same time may share the rate.
+    /// Returns the expected time until the job's image is on the machine. Images that are fetched at the
+    /// same time may share the bandwidth.
     pub fn image_fetch_s(&self, env: &Env, job: &Job, machine: &Machine) -> f64 {
         if machine.images.holds(&job.spec.image) {
             return 0.0;
         }
         let rate = env.type_named(&machine.kind).map_or(1.0, |k| k.fetch_gb_per_s.max(0.01));
-        let alone = job.spec.image_gb / rate;
-        let mut fetched: BTreeSet<&str> = BTreeSet::new();
+        let alone_s = job.spec.image_gb / rate;
+        let mut fetching: BTreeSet<&str> = BTreeSet::new();
         for (name, task) in &machine.places {
             let Some(owner) = self.jobs.get(name) else { continue };
-            let waits = owner.placements.get(task).is_some_and(|place| place.running_since.is_none());
-            if waits && !machine.images.holds(&owner.spec.image) {
-                fetched.insert(&owner.spec.image);
+            let not_running = owner.placements.get(task).is_some_and(|placement| placement.running_since.is_none());
+            if not_running && !machine.images.holds(&owner.spec.image) {
+                fetching.insert(&owner.spec.image);
             }
         }
-        if fetched.contains(job.spec.image.as_str()) { alone * 0.6 } else { alone * (1.0 + fetched.len() as f64) }
+        if fetching.contains(job.spec.image.as_str()) { alone_s * 0.6 } else { alone_s * (1.0 + fetching.len() as f64) }
     }
 
-    /// Room on a machine that nothing takes, and that no open move has booked.
+    /// Returns the resources of a machine that are neither used nor booked by an open move.
     pub fn free_resources(&self, machine: &Machine) -> Room {
         let free = machine.total.minus(machine.used);
         match &self.balance {
@@ -294,18 +314,19 @@
         }
     }
 
-    /// Free room on a machine for this job: room made for another is left alone.
+    /// Returns the resources of a machine that are available to a job: the free resources without those
+    /// that are claimed for another job, unless this job goes before that one.
     pub fn available_resources(&self, machine: &Machine, job: &Name) -> Room {
-        let mut room = self.free_resources(machine);
+        let mut available = self.free_resources(machine);
         if let Some(claim) = &machine.claim
             && claim.job != *job
             && !self.passes_before(job, &claim.job)
         {
-            room.sub(claim.room);
+            available.sub(claim.room);
         }
-        room
+        available
     }
 }
 
-/// How long room that was made by stopping others is kept for the job.
+/// How long resources that were freed by preemption stay claimed for the job.
 pub(crate) const CLAIM_DURATION: Duration = Duration::from_secs(12);
--- a/crates/core/src/place/pass.rs
+++ b/crates/core/src/place/pass.rs
@@ -1,4 +1,4 @@
-//! A pass over the jobs that wait: their order, and what each turn does.
+//! A scheduling pass over the waiting jobs: their order in the queue, and how each one is served.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,274 +12,290 @@
 use crate::quota::Room;
 use crate::term::Term;
 
-/// Tasks placed in one pass, or one for each machine if these are more; the rest comes with
-/// the next.
-const PASS_TASKS: u32 = 256;
-/// Jobs looked at in one pass that find no machine.
-const PASS_MISSES: u32 = 64;
-/// Jobs in one pass for which others are stopped: that weighs many machines' tasks.
-const PASS_STOPS: u32 = 4;
+/// Number of tasks that one pass may place, or one per machine if that is more. The rest follows in the
+/// next pass.
+const BASE_TASKS_PER_PASS: u32 = 256;
+/// A pass ends after more than this number of jobs that could not be placed completely.
+const MAX_MISSES_PER_PASS: u32 = 64;
+/// Number of jobs in one pass that may preempt others. Preemption compares the tasks of many machines.
+const MAX_PREEMPTIONS_PER_PASS: u32 = 4;
 
-/// A job that starves gets its tasks in so many slices.
-const SLICES: u32 = 4;
-/// Machines on which room that comes free is kept for it at a time.
-const STARVED_MACHINES: usize = 16;
-/// What a job within its guarantee may wait if the users do not say.
+/// Number of slices in which a starved job is served.
+const STARVED_JOB_SLICES: u32 = 4;
+/// Number of machines on which freed resources are reserved for a starved job at a time.
+const STARVED_JOB_MACHINES: usize = 16;
+/// How long a job within its guarantee may wait if the objectives do not say.
 const DEFAULT_PATIENCE: Duration = Duration::from_secs(5);
 
-/// Jobs by what they may ask of others; the first goes first.
+/// Scheduling class of a job, by its rights over other jobs. Earlier variants are served first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Class {
-    /// Services of the highest priority never wait behind others.
+    /// Services with production priority, which never wait behind other jobs.
     UrgentService,
-    /// Within their team's guarantee, or starving: of these the ones that starve go first.
+    /// Jobs within their team's guarantee, and starved jobs, which are served first within the class.
     Guaranteed,
-    /// Beyond their team's guarantee.
-    Beyond,
+    /// Jobs beyond their team's guarantee.
+    BeyondGuarantee,
 }
 
-/// A job's place in the queue; the smaller goes first.
-struct Turn {
+/// A waiting job with its sort keys; smaller entries are served first.
+struct QueueEntry {
     job: Name,
-    /// While a zone is evacuated; else all are of one.
+    /// Failover tier while a zone is evacuated, otherwise 0.
     tier: usize,
     class: Class,
     starved: bool,
     priority: Priority,
-    /// Beyond its guarantee, and its team has more than its fair share of the fleet.
+    /// Whether the job is beyond its team's guarantee and the team has more than its fair share of the
+    /// fleet.
     over_share: bool,
-    /// Whether no aim of its class can be met any more.
-    hopeless: bool,
-    /// CPU seconds that have no place yet. What runs ends without more room, so a job that
-    /// lacks a task or two goes before one that has just come.
-    work: f64,
+    /// Whether the job can no longer meet its deadline or any objective of its class.
+    too_late: bool,
+    /// Expected work of the waiting tasks, in CPU seconds. Tasks that already run are not counted, so a job
+    /// with only a few tasks left goes before one that has just arrived.
+    waiting_cpu_s: f64,
 }
 
-impl Turn {
-    fn order(&self, other: &Turn) -> Ordering {
+impl QueueEntry {
+    /// Compares two entries in the order in which they are served.
+    fn order(&self, other: &QueueEntry) -> Ordering {
         self.tier
             .cmp(&other.tier)
             .then(self.class.cmp(&other.class))
             .then(other.starved.cmp(&self.starved))
             .then(other.priority.cmp(&self.priority))
             .then(self.over_share.cmp(&other.over_share))
-            .then(self.hopeless.cmp(&other.hopeless))
-            .then(self.work.total_cmp(&other.work))
+            .then(self.too_late.cmp(&other.too_late))
+            .then(self.waiting_cpu_s.total_cmp(&other.waiting_cpu_s))
             .then_with(|| self.job.cmp(&other.job))
     }
 }
 
-/// What a pass has left to give, and what it has learnt.
+/// Remaining budgets and intermediate results of one scheduling pass.
 struct Pass {
     /// The jobs within their team's guarantee.
-    within: BTreeSet<Name>,
-    /// Tasks that may still be placed, jobs that found no machine, and jobs for which others may still
-    /// be stopped.
-    left: u32,
+    guaranteed: BTreeSet<Name>,
+    /// Number of tasks that may still be placed.
+    tasks_left: u32,
+    /// Number of jobs with tasks that could not be placed.
     misses: u32,
-    stops: u32,
-    /// The most room on any machine, for work that may use spot machines and for all.
-    most: [Room; 2],
-    /// Teams at their limit, and the priority of the job that waits for it: what comes free goes to
-    /// that job and not to a lesser one of the same pass.
-    held: BTreeMap<String, Priority>,
+    /// Number of jobs that may still preempt others.
+    preemptions_left: u32,
+    /// Upper bounds of the free resources of any machine: over all machines, and over on-demand machines.
+    max_free: [Room; 2],
+    /// Teams at their limit, with the priority of the first job that waits for it. Quota that becomes free
+    /// goes to that job and not to one of lower priority in the same pass.
+    quota_waiters: BTreeMap<String, Priority>,
 }
 
 impl Pass {
-    /// Whether a job of more weight waits for the team's limit.
-    fn is_held(&self, team: &str, priority: Priority) -> bool {
-        self.held.get(team).is_some_and(|waiting| *waiting > priority)
+    /// Whether a job of higher priority waits for the team's quota.
+    fn is_quota_held(&self, team: &str, priority: Priority) -> bool {
+        self.quota_waiters.get(team).is_some_and(|waiting| *waiting > priority)
     }
 }
 
-/// Whether the job is too late for every aim that the users set for its class. Among
-/// the others the one with the least left to do goes first: when more is asked than can
-/// be done, so the most jobs are in time. A deadline counts from the submission, aims from when the
-/// last job that it awaits was done.
-fn hopeless(env: &Env, job: &Job) -> bool {
+/// Whether the job can no longer meet its deadline or any objective of its class. The remaining jobs are
+/// served by least remaining work, so that as many as possible finish in time when demand exceeds
+/// capacity. A deadline counts from the submission; objectives count from when the last dependency was
+/// done.
+fn is_too_late(env: &Env, job: &Job) -> bool {
     if job.spec.kind == Kind::Service {
         return false;
     }
     let since = |ms: u64| env.now.wall_ms as f64 / 1000.0 - ms as f64 / 1000.0;
     let end = since(job.eligible_ms) + job.mean_run_s;
-    let aims = env.facts.objectives.iter().filter(|o| o.kind == "finished");
-    let aims = aims.filter(|o| o.class.as_ref() == Some(&job.spec.class)).filter_map(|o| o.within);
-    let left = aims.map(|within| within.as_secs_f64() - end);
-    let left = left.chain(job.effective_deadline_ms.map(|due| -since(due) - job.mean_run_s)).reduce(f64::max);
-    left.is_some_and(|left| left < 0.0)
+    let targets = env.facts.objectives.iter().filter(|o| o.kind == "finished");
+    let targets = targets.filter(|o| o.class.as_ref() == Some(&job.spec.class)).filter_map(|o| o.within);
+    let slack_s = targets.map(|within| within.as_secs_f64() - end);
+    let slack_s =
+        slack_s.chain(job.effective_deadline_ms.map(|deadline| -since(deadline) - job.mean_run_s)).reduce(f64::max);
+    slack_s.is_some_and(|slack_s| slack_s < 0.0)
 }
 
-/// Whether a job starves: none of its tasks was placed for so long, while others are. With
-/// more work than room the order of the queue alone would leave large jobs, and those too
-/// late for every aim, waiting for ever. `age` is the time since its submission.
-fn starves(env: &Env, job: &Job, age: Duration) -> bool {
+/// Whether a job is starved: none of its tasks was placed for the time that the policy allows. Under
+/// overload, the order of the queue alone would let large jobs, and those too late for every objective,
+/// wait forever. `age` is the time since the job became eligible.
+fn is_starved(env: &Env, job: &Job, age: Duration) -> bool {
     let waited = match job.last_placed {
         Some(at) => env.steady().duration_since(at),
         None => age,
     };
-    // The later slices come sooner, so that the last of its tasks starts in time too.
+    // Later slices follow sooner, so that the job's last tasks start in time as well.
     waited >= if job.was_starved { env.policy.starved / 2 } else { env.policy.starved }
 }
 
 impl Term {
-    /// Gives each job that starves a slice of its tasks, to be placed before all but services.
+    /// Lets each starved job place a slice of its tasks before all other jobs except urgent services.
     fn mark_starving(&mut self, env: &Env) {
         for job in self.jobs.values_mut().filter(|job| job.starvation_credit == 0 && job.waiting_tasks() > 0) {
             let age = Duration::from_millis(env.now.wall_ms.saturating_sub(job.eligible_ms));
-            if starves(env, job, age) {
-                tracing::debug!(job = &*job.id, waiting = job.waiting_tasks(), "starves; served out of turn");
-                job.starvation_credit = job.spec.tasks.div_ceil(SLICES).min(job.waiting_tasks());
+            if is_starved(env, job, age) {
+                tracing::debug!(
+                    job = &*job.id,
+                    waiting = job.waiting_tasks(),
+                    "job starved; serving it ahead of others"
+                );
+                job.starvation_credit = job.spec.tasks.div_ceil(STARVED_JOB_SLICES).min(job.waiting_tasks());
                 job.was_starved = true;
             }
         }
     }
 
-    /// The jobs within their team's guarantee.
+    /// Returns the jobs within their team's guarantee.
     pub fn jobs_within_guarantee(&self) -> BTreeSet<Name> {
         let mut jobs: Vec<&Job> = self.jobs.values().filter(|job| !job.cancelled && !job.is_blocked()).collect();
         jobs.sort_by(|a, b| a.eligible_ms.cmp(&b.eligible_ms).then_with(|| a.id.cmp(&b.id)));
         self.quotas.jobs_within_guarantee(jobs.into_iter()).into_iter().collect()
     }
 
-    /// Starts what can start. Places are planned here and ordered once they are durable.
+    /// Runs a scheduling pass. Tasks are placed here; their starts are ordered once the placements are
+    /// durable.
     pub fn place_pass(&mut self, env: &mut Env) {
         let now = env.steady();
         if self.jobs.values().all(|job| job.next_ready_task(now).is_none()) {
             return;
         }
         self.mark_starving(env);
-        let within = self.jobs_within_guarantee();
+        let guaranteed = self.jobs_within_guarantee();
         if self.failover.is_some() {
-            self.guaranteed = Arc::new(within.clone());
+            self.guaranteed = Arc::new(guaranteed.clone());
         }
-        let turns = self.turns(env, &within);
+        let queue = self.build_queue(env, &guaranteed);
         let mut pass = Pass {
-            within,
-            left: PASS_TASKS.max(self.machines.len() as u32),
+            guaranteed,
+            tasks_left: BASE_TASKS_PER_PASS.max(self.machines.len() as u32),
             misses: 0,
-            stops: PASS_STOPS,
-            most: self.most_room(now),
-            held: BTreeMap::new(),
+            preemptions_left: MAX_PREEMPTIONS_PER_PASS,
+            max_free: self.max_free_resources(now),
+            quota_waiters: BTreeMap::new(),
         };
-        for turn in turns {
-            let job = &self.jobs[&turn.job];
-            if pass.is_held(&job.spec.team, turn.priority) || self.is_bound_to_closed(now, job) {
+        for entry in queue {
+            let job = &self.jobs[&entry.job];
+            if pass.is_quota_held(&job.spec.team, entry.priority) || self.is_bound_to_closed(now, job) {
                 continue;
             }
-            if pass.left == 0 || pass.misses > PASS_MISSES {
+            if pass.tasks_left == 0 || pass.misses > MAX_MISSES_PER_PASS {
                 self.place_due = true;
                 break;
             }
-            self.serve(env, &mut pass, &turn);
+            self.serve(env, &mut pass, &entry);
         }
     }
 
-    /// The jobs with tasks that may start, in their order.
-    fn turns(&self, env: &Env, within: &BTreeSet<Name>) -> Vec<Turn> {
+    /// Returns the jobs that have a task to place now, in the order in which they are served.
+    fn build_queue(&self, env: &Env, guaranteed: &BTreeSet<Name>) -> Vec<QueueEntry> {
         let now = env.steady();
         let waiting = self.jobs.values().filter(|job| job.next_ready_task(now).is_some());
-        let mut turns: Vec<Turn> = waiting.map(|job| self.turn_of(env, job, within.contains(&job.id))).collect();
-        turns.sort_by(Turn::order);
-        turns
+        let mut queue: Vec<QueueEntry> =
+            waiting.map(|job| self.queue_entry(env, job, guaranteed.contains(&job.id))).collect();
+        queue.sort_by(QueueEntry::order);
+        queue
     }
 
-    fn turn_of(&self, env: &Env, job: &Job, inside: bool) -> Turn {
+    /// Returns a job's entry in the queue.
+    fn queue_entry(&self, env: &Env, job: &Job, is_guaranteed: bool) -> QueueEntry {
         let class = match (job.spec.kind, job.spec.priority) {
             (Kind::Service, Priority::Production) => Class::UrgentService,
-            _ if inside => Class::Guaranteed,
-            _ => Class::Beyond,
+            _ if is_guaranteed => Class::Guaranteed,
+            _ => Class::BeyondGuarantee,
         };
-        Turn {
+        QueueEntry {
             job: job.id.clone(),
             tier: if self.evacuates() { self.tier_of(job) } else { 0 },
             class: if job.starvation_credit > 0 { class.min(Class::Guaranteed) } else { class },
             starved: job.starvation_credit > 0,
             priority: job.effective_priority,
-            over_share: class == Class::Beyond && self.exceeds_fair_share(&job.spec.team),
-            hopeless: hopeless(env, job),
-            work: f64::from(job.waiting_tasks()) * job.spec.cpus * job.mean_run_s,
+            over_share: class == Class::BeyondGuarantee && self.exceeds_fair_share(&job.spec.team),
+            too_late: is_too_late(env, job),
+            waiting_cpu_s: f64::from(job.waiting_tasks()) * job.spec.cpus * job.mean_run_s,
         }
     }
 
-    /// The most room on any machine, for work that may use spot machines and for all: it only shrinks
-    /// within a pass, and most jobs that wait in a full fleet need more.
-    fn most_room(&self, now: Instant) -> [Room; 2] {
-        let mut most = [Room::default(); 2];
+    /// Returns upper bounds of the free resources of any machine: over all machines, and over on-demand
+    /// machines. Free resources only shrink within a pass, so the bounds stay valid; in a full fleet they
+    /// rule out most waiting jobs at once.
+    fn max_free_resources(&self, now: Instant) -> [Room; 2] {
+        let mut max_free = [Room::default(); 2];
         for machine in self.machines.values().filter(|m| m.usable(now)) {
             let free = machine.total.minus(machine.used);
-            let kinds = if machine.spot { &mut most[..1] } else { &mut most[..] };
-            kinds.iter_mut().for_each(|room| room.widen(free));
+            let bounds = if machine.spot { &mut max_free[..1] } else { &mut max_free[..] };
+            bounds.iter_mut().for_each(|bound| bound.widen(free));
         }
-        most
+        max_free
     }
 
-    /// A job's turn: places its tasks, and sees to those that find no room.
-    fn serve(&mut self, env: &mut Env, pass: &mut Pass, turn: &Turn) {
-        let spec = &self.jobs[&turn.job].spec;
+    /// Places a job's tasks; for those that do not fit, reserves resources or preempts other tasks.
+    fn serve(&mut self, env: &mut Env, pass: &mut Pass, entry: &QueueEntry) {
+        let spec = &self.jobs[&entry.job].spec;
         let need = Room::of(spec);
         let limited = self.is_at_team_limit(&spec.team, need);
-        if !limited && pass.most[usize::from(!spec.spot)].holds(need) {
-            let share = if turn.starved { pass.left.min(self.jobs[&turn.job].starvation_credit) } else { pass.left };
-            let borrows = turn.class == Class::Beyond && !turn.starved;
-            pass.left -= self.place_job(env, &turn.job, share, borrows);
+        if !limited && pass.max_free[usize::from(!spec.spot)].holds(need) {
+            let limit = if entry.starved {
+                pass.tasks_left.min(self.jobs[&entry.job].starvation_credit)
+            } else {
+                pass.tasks_left
+            };
+            let borrows = entry.class == Class::BeyondGuarantee && !entry.starved;
+            pass.tasks_left -= self.place_job(env, &entry.job, limit, borrows);
         }
-        if turn.starved {
-            self.keep_for_starved(env, pass, turn, limited);
-        } else if self.jobs[&turn.job].next_ready_task(env.steady()).is_some() {
+        if entry.starved {
+            self.reserve_for_starved(env, pass, entry, limited);
+        } else if self.jobs[&entry.job].next_ready_task(env.steady()).is_some() {
             pass.misses += 1;
-            self.make_way(env, pass, turn, need);
+            self.relieve_blocked_job(env, pass, entry, need);
         }
     }
 
-    /// Whether the team's limit lets no task of this size start.
+    /// Whether the team's limit allows no further task of this size.
     pub fn is_at_team_limit(&self, team: &str, need: Room) -> bool {
         self.quotas.usage(team).is_none_or(|usage| usage.headroom(need) == 0)
     }
 
-    /// What comes free is kept for a job that starves, or smaller tasks would take it all.
-    fn keep_for_starved(&mut self, env: &mut Env, pass: &mut Pass, turn: &Turn, limited: bool) {
-        let job = &self.jobs[&turn.job];
+    /// Reserves freed resources or quota for a starved job; otherwise smaller tasks would take all of them.
+    fn reserve_for_starved(&mut self, env: &mut Env, pass: &mut Pass, entry: &QueueEntry, limited: bool) {
+        let job = &self.jobs[&entry.job];
         if job.starvation_credit == 0 {
             return;
         }
         if limited {
-            pass.held.insert(job.spec.team.clone(), Priority::Production);
+            pass.quota_waiters.insert(job.spec.team.clone(), Priority::Production);
         } else {
-            self.reserve_freed_resources(env, &turn.job, (job.starvation_credit as usize).min(STARVED_MACHINES));
+            self.reserve_freed_resources(env, &entry.job, (job.starvation_credit as usize).min(STARVED_JOB_MACHINES));
         }
     }
 
-    /// Tasks of the job found no room: others are stopped, or what comes free is kept, as far as its
-    /// class allows.
-    fn make_way(&mut self, env: &mut Env, pass: &mut Pass, turn: &Turn, need: Room) {
-        let job = &self.jobs[&turn.job];
+    /// Preempts other tasks or reserves freed resources for a job whose tasks could not all be placed, as
+    /// its class allows.
+    fn relieve_blocked_job(&mut self, env: &mut Env, pass: &mut Pass, entry: &QueueEntry, need: Room) {
+        let job = &self.jobs[&entry.job];
         let at_limit = self.quotas.usage(&job.spec.team).is_some_and(|usage| usage.headroom(need) == 0);
         if at_limit {
-            if !pass.held.contains_key(&job.spec.team) {
-                pass.held.insert(job.spec.team.clone(), turn.priority);
-                self.preempt_for_quota(env, &turn.job, &pass.within);
+            if !pass.quota_waiters.contains_key(&job.spec.team) {
+                pass.quota_waiters.insert(job.spec.team.clone(), entry.priority);
+                self.preempt_for_quota(env, &entry.job, &pass.guaranteed);
             }
             return;
         }
-        let stops_others = match turn.class {
+        let preempts = match entry.class {
             Class::UrgentService => true,
-            Class::Guaranteed => self.patience_over(env, job),
-            Class::Beyond => return,
+            Class::Guaranteed => self.is_patience_over(env, job),
+            Class::BeyondGuarantee => return,
         };
-        if !stops_others {
-            self.reserve_freed_resources(env, &turn.job, usize::MAX);
-        } else if pass.stops > 0 {
-            pass.stops -= 1;
-            self.preempt_for_job(env, &turn.job, &pass.within);
+        if !preempts {
+            self.reserve_freed_resources(env, &entry.job, usize::MAX);
+        } else if pass.preemptions_left > 0 {
+            pass.preemptions_left -= 1;
+            self.preempt_for_job(env, &entry.job, &pass.guaranteed);
         }
     }
 
-    /// Work that ends by itself frees room all the time, and a task that is stopped has
-    /// run in vain: others are stopped only for a job that has waited for a good part of
-    /// what the users allow.
-    fn patience_over(&self, env: &Env, job: &Job) -> bool {
-        let allowed = env.facts.objectives.iter().find(|o| o.kind == "guarantee").and_then(|o| o.within);
-        let patience = allowed.unwrap_or(DEFAULT_PATIENCE).mul_f64(env.policy.patience_share);
+    /// Whether a job has waited long enough to preempt others. Tasks that finish free resources all the
+    /// time, and preemption wastes the work of its victims, so a job preempts only after it has waited for
+    /// a configured share of the time that the objectives allow.
+    fn is_patience_over(&self, env: &Env, job: &Job) -> bool {
+        let allowed_wait = env.facts.objectives.iter().find(|o| o.kind == "guarantee").and_then(|o| o.within);
+        let patience = allowed_wait.unwrap_or(DEFAULT_PATIENCE).mul_f64(env.policy.patience_share);
         u128::from(env.now.wall_ms.saturating_sub(job.eligible_ms)) >= patience.as_millis()
     }
 }
