--- a/crates/core/src/preempt.rs
+++ b/crates/core/src/preempt.rs
@@ -1,5 +1,5 @@
-//! Room for work that must not wait: stops tasks of lower priority, or work that other
-//! teams run beyond their guarantee when a team wants its own.
+//! Preemption: frees resources for jobs that must not wait by stopping tasks of lower priority, or tasks
+//! that other teams run beyond their guarantee when a team needs its own.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -14,67 +14,74 @@
 use crate::quota::Room;
 use crate::term::Term;
 
-/// How long room that comes free is kept for a job.
-const HOLD_FOR: Duration = Duration::from_secs(3);
-/// Machines on which one pass makes room for a job.
-const PER_PASS: usize = 4;
-/// Machines weighed for that when there are more, in samples of a placement.
-const SAMPLES: usize = 2;
-/// What the delay of a job counts for beside the lost work of a task, in seconds.
-const DELAY: f64 = 30.0;
-/// What stopping a task of a job that starved counts for, in CPU seconds: such tasks are
-/// stopped last, and by services only.
-const RESCUED: f64 = 1e6;
+/// How long a machine's freed resources stay claimed for a job that waits for them.
+const RESERVATION_DURATION: Duration = Duration::from_secs(3);
+/// Number of machines on which one pass preempts tasks for a job.
+const MAX_MACHINES_PER_PASS: usize = 4;
+/// Maximum number of machines considered for preemption, as a multiple of the placement sample.
+const SAMPLE_FACTOR: usize = 2;
+/// Cost of delaying a whole job by stopping one of its tasks, in seconds per CPU.
+const JOB_DELAY_S: f64 = 30.0;
+/// Cost of stopping a task of a job that was starved, in CPU seconds. Such tasks are stopped last, and
+/// only by production jobs.
+const STARVED_VICTIM_COST_CPU_S: f64 = 1e6;
 
+/// Tasks to stop on one machine, and what that achieves.
 struct Plan {
     machine: Name,
     victims: Vec<TaskKey>,
+    /// Resources that are available once the victims have stopped.
     freed: Room,
+    /// Number of the preempting job's tasks that fit into the freed resources.
     tasks: u32,
+    /// Cost of stopping the victims, in CPU seconds.
     lost_s: f64,
 }
 
-/// CPU seconds of work lost if the task were stopped now, a little for the restart, and more
-/// if its job lacks no task so far: stopping one delays the job as a whole, while one that
-/// waits for others anyway loses little. So the stops fall on few jobs.
-fn lost_s(now: Instant, job: &Job, place: &Placement) -> f64 {
-    let ran = place.running_since.map_or(0.0, |t| now.duration_since(t).as_secs_f64());
+/// Returns the cost of stopping a task now, in CPU seconds: the work lost, a little for the restart, and
+/// more if no other task of its job is waiting. Stopping one task then delays the whole job, while a job
+/// that waits for other tasks anyway loses little. Preemption thus falls on few jobs.
+fn lost_s(now: Instant, job: &Job, placement: &Placement) -> f64 {
+    let ran = placement.running_since.map_or(0.0, |t| now.duration_since(t).as_secs_f64());
     let lost = if job.spec.checkpoint_s > 0.0 { ran % job.spec.checkpoint_s } else { ran };
-    let whole = if job.waiting_tasks() == 0 { DELAY } else { 0.0 };
-    (lost + whole + 1.0) * job.spec.cpus + if job.was_starved { RESCUED } else { 0.0 }
+    let job_delay = if job.waiting_tasks() == 0 { JOB_DELAY_S } else { 0.0 };
+    (lost + job_delay + 1.0) * job.spec.cpus + if job.was_starved { STARVED_VICTIM_COST_CPU_S } else { 0.0 }
 }
 
-/// Whether a job may stop another for its higher priority. One beyond its guarantee
-/// leaves those within theirs alone: they would only come back and go first.
-fn outranks(job: &Job, victim: &Job, within: &BTreeSet<Name>) -> bool {
-    let entitled = job.spec.priority == Priority::Production || within.contains(&job.id);
+/// Whether a job may preempt another because of its higher priority. A job beyond its guarantee must not
+/// preempt jobs within theirs, which would return to the queue and be served before it.
+fn outranks(job: &Job, victim: &Job, guaranteed: &BTreeSet<Name>) -> bool {
+    let entitled = job.spec.priority == Priority::Production || guaranteed.contains(&job.id);
     victim.effective_priority < job.effective_priority
-        && (entitled || !within.contains(&victim.id))
-        && !spared(job, victim)
+        && (entitled || !guaranteed.contains(&victim.id))
+        && !is_protected(job, victim)
 }
 
-/// Whether a job's tasks were placed since it starved: what stops them again would undo it.
-fn spared(job: &Job, victim: &Job) -> bool {
+/// Whether the victim was starved, which protects it from all but production jobs: stopping its tasks
+/// would starve it again.
+fn is_protected(job: &Job, victim: &Job) -> bool {
     victim.was_starved && job.spec.priority != Priority::Production
 }
 
 impl Term {
-    pub fn preempt_for_job(&mut self, env: &mut Env, name: &Name, within: &BTreeSet<Name>) {
+    /// Stops other tasks so that waiting tasks of a job fit on their machines, and claims the freed
+    /// resources for the job. `guaranteed` contains the jobs within their team's guarantee.
+    pub fn preempt_for_job(&mut self, env: &mut Env, name: &Name, guaranteed: &BTreeSet<Name>) {
         let job = &self.jobs[name];
         let need = Room::of(&job.spec);
-        let quota = self.quotas.usage(&job.spec.team).map_or(0, |u| u.headroom(need));
+        let headroom = self.quotas.usage(&job.spec.team).map_or(0, |u| u.headroom(need));
         let claimed: u32 = self
             .machines
             .values()
             .filter_map(|m| m.claim.as_ref().filter(|claim| claim.job == *name && claim.made))
             .map(|claim| claim.room.times(need))
             .sum();
-        let mut wanted = job.waiting_tasks().min(quota).saturating_sub(claimed);
-        for _ in 0..PER_PASS {
+        let mut wanted = job.waiting_tasks().min(headroom).saturating_sub(claimed);
+        for _ in 0..MAX_MACHINES_PER_PASS {
             if wanted == 0 {
                 return;
             }
-            let Some(plan) = self.best_plan(env, name, within, wanted) else {
+            let Some(plan) = self.best_plan(env, name, guaranteed, wanted) else {
                 return;
             };
             tracing::debug!(
@@ -82,7 +89,7 @@
                 machine = &*plan.machine,
                 victims = plan.victims.len(),
                 lost_s = plan.lost_s,
-                "making room"
+                "preempting tasks on a machine"
             );
             wanted = wanted.saturating_sub(plan.tasks);
             let urgent = self.jobs[name].spec.priority == Priority::Production;
@@ -97,10 +104,10 @@
         }
     }
 
-    /// Keeps what comes free for a job within its guarantee while its patience lasts, one
-    /// task's room a machine: smaller tasks would take every CPU as it comes free, and
-    /// more of them would have to be stopped in the end.
-    pub fn reserve_freed_resources(&mut self, env: &Env, name: &Name, most: usize) {
+    /// Claims resources that become free for a waiting job that does not preempt others, for one task per
+    /// machine and on at most `limit` machines. Otherwise smaller tasks would take each CPU as it becomes
+    /// free, and more of them would have to be preempted in the end.
+    pub fn reserve_freed_resources(&mut self, env: &Env, name: &Name, limit: usize) {
         let now = env.steady();
         let job = &self.jobs[name];
         let need = Room::of(&job.spec);
@@ -112,95 +119,97 @@
                 && m.total.holds(need)
                 && zones.as_ref().is_none_or(|zones| zones.contains(&m.zone))
         };
-        let held = self.machines.values().filter(|m| m.claim.as_ref().is_some_and(|c| c.job == *name)).count();
-        let mut free: Vec<(f64, Name)> =
+        let claimed = self.machines.values().filter(|m| m.claim.as_ref().is_some_and(|c| c.job == *name)).count();
+        let mut candidates: Vec<(f64, Name)> =
             self.machines.values().filter(fits).map(|m| (m.total.cpus - m.used.cpus, m.name.clone())).collect();
-        free.sort_by(|a, b| b.0.total_cmp(&a.0));
-        let wanted = (job.waiting_tasks() as usize).min(most).saturating_sub(held);
-        for (_, machine) in free.into_iter().take(wanted) {
+        candidates.sort_by(|a, b| b.0.total_cmp(&a.0));
+        let wanted = (job.waiting_tasks() as usize).min(limit).saturating_sub(claimed);
+        for (_, machine) in candidates.into_iter().take(wanted) {
             let machine = self.machines.get_mut(&machine).expect("listed");
-            machine.claim = Some(Claim { job: name.clone(), room: need, until: now + HOLD_FOR, made: false });
+            machine.claim =
+                Some(Claim { job: name.clone(), room: need, until: now + RESERVATION_DURATION, made: false });
         }
     }
 
-    /// Makes room below the team's limit for a job that it holds back: stops tasks of
-    /// the same team's work of lower priority, those that lose the least first.
-    pub fn preempt_for_quota(&mut self, env: &mut Env, name: &Name, within: &BTreeSet<Name>) {
+    /// Frees quota for a job that its team's limit holds back: stops lower-priority tasks of the same team,
+    /// those with the lowest cost first.
+    pub fn preempt_for_quota(&mut self, env: &mut Env, name: &Name, guaranteed: &BTreeSet<Name>) {
         let now = env.steady();
         let job = &self.jobs[name];
         let need = Room::of(&job.spec);
         let Some(usage) = self.quotas.usage(&job.spec.team) else { return };
-        let mut have = usage.remaining();
+        let mut available = usage.remaining();
         let mut victims: Vec<(f64, TaskKey, Room)> = Vec::new();
         for other in self.jobs.values().filter(|other| other.spec.team == job.spec.team) {
-            let room = Room::of(&other.spec);
-            for (task, place) in &other.placements {
-                if place.stop.is_some() {
-                    have.add(room);
-                } else if outranks(job, other, within) && !self.passes_before(&other.id, &job.id) {
-                    let lost = lost_s(now, other, place) + self.tier_weight(other);
-                    victims.push((lost, (other.id.clone(), *task), room));
+            let resources = Room::of(&other.spec);
+            for (task, placement) in &other.placements {
+                if placement.stop.is_some() {
+                    available.add(resources);
+                } else if outranks(job, other, guaranteed) && !self.passes_before(&other.id, &job.id) {
+                    let lost = lost_s(now, other, placement) + self.tier_weight(other);
+                    victims.push((lost, (other.id.clone(), *task), resources));
                 }
             }
         }
-        have.memory_gb = f64::INFINITY;
+        available.memory_gb = f64::INFINITY;
         victims.sort_by(|a, b| a.0.total_cmp(&b.0));
         let wanted = job.waiting_tasks();
         let urgent = job.spec.priority == Priority::Production;
         let mut stopped = 0;
-        for (_, (victim, task), room) in victims {
-            if have.times(need) >= wanted {
+        for (_, (victim, task), resources) in victims {
+            if available.times(need) >= wanted {
                 break;
             }
-            have.add(room);
+            available.add(resources);
             stopped += 1;
             let spec = &self.jobs[&victim].spec;
             let grace = if urgent || spec.checkpoint_s == 0.0 { 0.0 } else { spec.save_s };
             self.stop_task(env, &victim, task, grace);
         }
         if stopped > 0 {
-            tracing::debug!(job = &**name, stopped, "making room below the team's limit");
+            tracing::debug!(job = &**name, stopped, "preempting tasks to free quota below the team's limit");
         }
     }
 
-    fn may_stop(&self, victim: &Job, job: &Job, within: &BTreeSet<Name>) -> bool {
-        let inside = within.contains(&job.id);
-        let victim_inside = within.contains(&victim.id);
+    /// Whether a job may preempt tasks of another.
+    fn may_preempt(&self, victim: &Job, job: &Job, guaranteed: &BTreeSet<Name>) -> bool {
+        let is_guaranteed = guaranteed.contains(&job.id);
+        let victim_is_guaranteed = guaranteed.contains(&victim.id);
         if victim.spec.kind == Kind::Service && victim.spec.priority == Priority::Production {
             return false;
         }
-        // Placement goes by tiers: a later one takes no room from an earlier one.
+        // During an evacuation, a later tier must not take resources from an earlier one.
         if self.passes_before(&victim.id, &job.id) {
             return false;
         }
-        let lower = outranks(job, victim, within);
-        let borrowed = inside
-            && !victim_inside
-            && !spared(job, victim)
+        let lower = outranks(job, victim, guaranteed);
+        let borrowed = is_guaranteed
+            && !victim_is_guaranteed
+            && !is_protected(job, victim)
             && victim.spec.team != job.spec.team
             && self.quotas.usage(&victim.spec.team).is_some_and(|u| u.exceeds_guarantee());
         lower || borrowed
     }
 
-    /// The machine where the least work is lost for the room gained.
-    fn best_plan(&self, env: &mut Env, name: &Name, within: &BTreeSet<Name>, wanted: u32) -> Option<Plan> {
+    /// Returns the plan with the lowest cost per placed task.
+    fn best_plan(&self, env: &mut Env, name: &Name, guaranteed: &BTreeSet<Name>, wanted: u32) -> Option<Plan> {
         let now = env.steady();
         let job = &self.jobs[name];
         let need = Room::of(&job.spec);
         let zones = self.eligible_zones(job);
         let fits = |machine: &&Machine| {
-            let taken = machine.claim.as_ref().is_some_and(|claim| claim.job != *name || claim.made);
+            let is_claimed = machine.claim.as_ref().is_some_and(|claim| claim.job != *name || claim.made);
             machine.usable(now)
                 && machine.in_open_zone()
-                && !taken
+                && !is_claimed
                 && meets_constraints(&job.spec, machine)
                 && zones.as_ref().is_none_or(|zones| zones.contains(&machine.zone))
                 && machine.total.holds(need)
         };
         let mut fitting: Vec<&Machine> = self.machines.values().filter(fits).collect();
-        let most = env.policy.sample * SAMPLES;
-        if fitting.len() > most {
-            fitting = fitting.into_iter().sample(&mut env.rng, most);
+        let sample = env.policy.sample * SAMPLE_FACTOR;
+        if fitting.len() > sample {
+            fitting = fitting.into_iter().sample(&mut env.rng, sample);
         }
         let mut best: Option<Plan> = None;
         for machine in fitting {
@@ -208,12 +217,12 @@
             let mut freed = self.free_resources(machine);
             for key in &machine.places {
                 let owner = &self.jobs[&key.0];
-                let place = &owner.placements[&key.1];
-                if place.stop.is_some() {
-                    // Its room comes free by itself.
+                let placement = &owner.placements[&key.1];
+                if placement.stop.is_some() {
+                    // The task is already stopping, so its resources become free without a preemption.
                     freed.add(Room::of(&owner.spec));
-                } else if self.may_stop(owner, job, within) {
-                    let lost = lost_s(now, owner, place) + self.tier_weight(owner);
+                } else if self.may_preempt(owner, job, guaranteed) {
+                    let lost = lost_s(now, owner, placement) + self.tier_weight(owner);
                     victims.push((lost, key.clone(), Room::of(&owner.spec)));
                 }
             }
@@ -222,11 +231,11 @@
             }
             victims.sort_by(|a, b| a.0.total_cmp(&b.0));
             let mut plan = Plan { machine: machine.name.clone(), victims: Vec::new(), freed, tasks: 0, lost_s: 0.0 };
-            for (lost, key, room) in victims {
+            for (lost, key, resources) in victims {
                 if plan.freed.times(need) >= wanted {
                     break;
                 }
-                plan.freed.add(room);
+                plan.freed.add(resources);
                 plan.lost_s += lost;
                 plan.victims.push(key);
             }
@@ -236,7 +245,7 @@
                 best = Some(plan);
             }
         }
-        // Only what the job will use is kept for it.
+        // Claim only what the job will use.
         best.map(|mut plan| {
             let tasks = f64::from(plan.tasks);
             plan.freed = need.scaled(tasks);
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -1,5 +1,5 @@
-//! Team limits and guarantees. Whatever may be present on a machine counts, from the
-//! moment a place is planned until it is proven empty.
+//! Team limits and guarantees. A task counts against its team's quota from the moment it is placed until
+//! it is proven to be gone from the machine.
 
 use std::collections::BTreeMap;
 
@@ -10,9 +10,10 @@
 
 pub(crate) use rushyoke_balance::Resources as Room;
 
-/// Amounts compare with this slack, since sums of decimals are not exact.
+/// Tolerance of comparisons with a quota, because sums of decimal fractions are not exact.
 pub(crate) const QUOTA_TOLERANCE: f64 = Room::SLACK;
 
+/// A team's limit and guarantee, and the resources that its tasks use.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TeamUsage {
     pub team: Team,
@@ -21,45 +22,50 @@
 }
 
 impl TeamUsage {
-    /// How many more tasks of this size the limit allows.
+    /// Returns the number of further tasks of this size that the limit allows.
     pub fn headroom(&self, need: Room) -> u32 {
         self.remaining().times(Room { memory_gb: 0.0, ..need })
     }
 
-    /// What the limit leaves; memory is not limited.
+    /// Returns the resources that the limit leaves. Memory is not limited and given as 0.
     pub fn remaining(&self) -> Room {
         Room { cpus: self.team.cpus_max - self.cpus, gpus: self.team.gpus_max - self.gpus, memory_gb: 0.0 }
     }
 
-    /// Whether the team uses more than it is guaranteed.
+    /// Whether the team uses more than its guarantee.
     pub fn exceeds_guarantee(&self) -> bool {
         self.cpus > self.team.cpus + QUOTA_TOLERANCE || self.gpus > self.team.gpus + QUOTA_TOLERANCE
     }
 }
 
+/// Quotas and usage of all teams.
 #[derive(Default)]
 pub(crate) struct Quotas {
     teams: BTreeMap<String, TeamUsage>,
 }
 
 impl Quotas {
+    /// Returns the quotas of the given teams, with nothing used.
     pub fn new(teams: &BTreeMap<String, Team>) -> Quotas {
         let teams =
             teams.iter().map(|(name, team)| (name.clone(), TeamUsage { team: team.clone(), cpus: 0.0, gpus: 0.0 }));
         Quotas { teams: teams.collect() }
     }
 
+    /// Returns a team's usage, or `None` if the team is unknown.
     pub fn usage(&self, team: &str) -> Option<&TeamUsage> {
         self.teams.get(team)
     }
 
+    /// Adds one task to its team's usage.
     pub fn add(&mut self, spec: &JobSpec) {
-        // A team that left the settings still counts what it has.
+        // A team that was removed from the settings still has its tasks counted.
         let usage = self.teams.entry(spec.team.clone()).or_default();
         usage.cpus += spec.cpus;
         usage.gpus += spec.gpus;
     }
 
+    /// Removes one task from its team's usage.
     pub fn sub(&mut self, spec: &JobSpec) {
         if let Some(usage) = self.teams.get_mut(&spec.team) {
             usage.cpus -= spec.cpus;
@@ -67,23 +73,23 @@
         }
     }
 
-    /// The jobs that fit into their team's guarantee together with the team's earlier
-    /// unfinished jobs. `jobs` come in the order of submission.
+    /// Returns the jobs that fit into their team's guarantee together with the team's earlier unfinished
+    /// jobs. `jobs` must be in the order in which they became eligible.
     pub fn jobs_within_guarantee<'a>(&self, jobs: impl Iterator<Item = &'a Job>) -> Vec<Name> {
-        let mut sums: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
-        let mut within = Vec::new();
+        let mut demands: BTreeMap<&str, (f64, f64)> = BTreeMap::new();
+        let mut guaranteed = Vec::new();
         for job in jobs {
             let Some(usage) = self.teams.get(&job.spec.team) else {
                 continue;
             };
-            let sum = sums.entry(&job.spec.team).or_default();
+            let demand = demands.entry(&job.spec.team).or_default();
             let tasks = f64::from(job.unfinished_tasks());
-            sum.0 += tasks * job.spec.cpus;
-            sum.1 += tasks * job.spec.gpus;
-            if sum.0 <= usage.team.cpus + QUOTA_TOLERANCE && sum.1 <= usage.team.gpus + QUOTA_TOLERANCE {
-                within.push(job.id.clone());
+            demand.0 += tasks * job.spec.cpus;
+            demand.1 += tasks * job.spec.gpus;
+            if demand.0 <= usage.team.cpus + QUOTA_TOLERANCE && demand.1 <= usage.team.gpus + QUOTA_TOLERANCE {
+                guaranteed.push(job.id.clone());
             }
         }
-        within
+        guaranteed
     }
 }
