--- a/crates/core/src/speculate.rs
+++ b/crates/core/src/speculate.rs
@@ -1,7 +1,7 @@
-//! The eSplash path: levels of machines, run-time statistics per level and task type,
-//! stragglers, and the one restart per period. A task type is a job, as in the paper.
+//! Speculative restarts after the eSplash paper: levels of machines, run time statistics per level and
+//! task type, stragglers, and at most one restart per period. A task type is a job, as in the paper.
 //!
-//! The pure steps stand in `statistics`.
+//! The computations that don't depend on the leader's state are in `statistics`.
 
 pub mod statistics;
 
@@ -19,47 +19,48 @@
 use crate::quota::Room;
 use crate::term::Term;
 
-/// Finished tasks of a type that a machine's vector needs before it says something.
-const VECTOR_MINIMUM: u32 = 3;
-/// How long a machine stays marked after its straggler value was last too high.
-const MARKED_FOR: Duration = Duration::from_secs(30);
+/// Number of finished tasks of a type that a machine needs before their mean counts for its performance.
+const MIN_RUNS_PER_TYPE: u32 = 3;
+/// How long a machine stays marked as a straggler after its straggler value last exceeded the threshold.
+const STRAGGLER_MARK_DURATION: Duration = Duration::from_secs(30);
 
-struct Choice {
+/// A task that may be restarted on another machine.
+struct RestartCandidate {
     key: TaskKey,
-    minimum: usize,
+    minimum_level: usize,
     expected_s: f64,
-    gain: f64,
+    gain_s: f64,
     target: Name,
 }
 
 impl Term {
-    /// Once per period: levels, stragglers and at most one restart.
+    /// Once per period, updates the levels and stragglers and restarts at most one task.
     pub fn speculation_tick(&mut self, env: &mut Env) {
         let now = env.steady();
         let policy = env.policy.clone();
         if !policy.speculation
-            || self.speculation.last.is_some_and(|t| now.duration_since(t) < policy.speculation_period)
+            || self.speculation.last_tick.is_some_and(|t| now.duration_since(t) < policy.speculation_period)
         {
             return;
         }
-        self.speculation.last = Some(now);
-        let levels = self.relevel(env);
+        self.speculation.last_tick = Some(now);
+        let levels = self.update_levels(env);
         let mut cells: HashMap<Name, Vec<Option<Cell>>> = HashMap::new();
         for job in self.speculation.finished.keys() {
             cells.insert(job.clone(), self.speculation.cells(job, levels, policy.cell_minimum));
         }
         self.mark_stragglers(now, &cells, policy.straggler_threshold);
-        let choices = self.candidates(env, &cells, levels);
-        let best = choices.into_iter().max_by(|a, b| a.gain.total_cmp(&b.gain));
+        let candidates = self.candidates(env, &cells, levels);
+        let best = candidates.into_iter().max_by(|a, b| a.gain_s.total_cmp(&b.gain_s));
         let Some(best) = best else { return };
         tracing::info!(
             job = &*best.key.0,
             task = best.key.1,
-            minimum_level = best.minimum,
+            minimum_level = best.minimum_level,
             expected_s = best.expected_s,
-            gain_s = best.gain,
+            gain_s = best.gain_s,
             target = &*best.target,
-            "restarting a straggler's task"
+            "restarting a task of a straggling machine"
         );
         let job = self.jobs.get_mut(&best.key.0).expect("a candidate");
         job.restarted.insert(best.key.1);
@@ -71,16 +72,16 @@
         self.stop_task(env, &best.key.0, best.key.1, grace);
     }
 
-    /// Refines the levels from what machines have finished; returns how many there are.
-    fn relevel(&mut self, env: &mut Env) -> usize {
-        let mut vectors: BTreeMap<Name, Performance> = BTreeMap::new();
+    /// Recomputes the machines' levels from their finished tasks, and returns the number of levels.
+    fn update_levels(&mut self, env: &mut Env) -> usize {
+        let mut performances: BTreeMap<Name, Performance> = BTreeMap::new();
         for (job, machines) in &self.speculation.finished {
-            for (machine, moments) in machines.iter().filter(|(_, m)| m.count >= VECTOR_MINIMUM) {
-                vectors.entry(machine.clone()).or_default().insert(job.clone(), moments.mean());
+            for (machine, moments) in machines.iter().filter(|(_, m)| m.count >= MIN_RUNS_PER_TYPE) {
+                performances.entry(machine.clone()).or_default().insert(job.clone(), moments.mean());
             }
         }
-        let names: Vec<Name> = vectors.keys().cloned().collect();
-        let points: Vec<Performance> = vectors.into_values().collect();
+        let names: Vec<Name> = performances.keys().cloned().collect();
+        let points: Vec<Performance> = performances.into_values().collect();
         let found = levels(&points, env.policy.levels, &mut env.rng);
         let count = found.iter().max().map_or(1, |l| l + 1);
         self.speculation.levels = names.into_iter().zip(found).collect();
@@ -90,30 +91,38 @@
         count
     }
 
+    /// Marks the machines whose straggler value exceeds the threshold per running task.
     fn mark_stragglers(&mut self, now: Instant, cells: &HashMap<Name, Vec<Option<Cell>>>, threshold: f64) {
         for machine in self.machines.values_mut() {
             let mut running = 0;
-            let mut compared = Vec::new();
+            let mut elapsed_with_cell = Vec::new();
             for key in &machine.places {
-                let place = &self.jobs[&key.0].placements[&key.1];
-                let (Stage::Running, Some(since)) = (place.stage, place.running_since) else {
+                let placement = &self.jobs[&key.0].placements[&key.1];
+                let (Stage::Running, Some(since)) = (placement.stage, placement.running_since) else {
                     continue;
                 };
                 running += 1;
                 if let Some(cell) = cells.get(&key.0).and_then(|c| c[machine.level]) {
-                    compared.push((now.duration_since(since).as_secs_f64(), cell));
+                    elapsed_with_cell.push((now.duration_since(since).as_secs_f64(), cell));
                 }
             }
-            let value = straggler_value(&compared);
+            let value = straggler_value(&elapsed_with_cell);
             let straggler = running > 0 && value > threshold * f64::from(running);
             if straggler {
                 machine.straggler_at = Some(now);
             }
-            // The mark stays for a while: its level follows what it finishes, and would
-            // soon call it normal.
-            let straggler = machine.straggler_at.is_some_and(|t| now.duration_since(t) < MARKED_FOR);
+            // The mark is kept for a while: slow runs lower the machine's level, at which it would soon be
+            // considered normal.
+            let straggler = machine.straggler_at.is_some_and(|t| now.duration_since(t) < STRAGGLER_MARK_DURATION);
             if straggler != machine.straggler {
-                tracing::info!(machine = &*machine.name, level = machine.level, value, running, straggler, "straggler");
+                tracing::info!(
+                    machine = &*machine.name,
+                    level = machine.level,
+                    value,
+                    running,
+                    straggler,
+                    "straggler mark changed"
+                );
             } else if value > 0.0 {
                 tracing::debug!(
                     machine = &*machine.name,
@@ -128,53 +137,61 @@
         }
     }
 
-    fn candidates(&self, env: &Env, cells: &HashMap<Name, Vec<Option<Cell>>>, levels: usize) -> Vec<Choice> {
+    /// Returns the tasks on stragglers whose restart is expected to save time.
+    fn candidates(&self, env: &Env, cells: &HashMap<Name, Vec<Option<Cell>>>, levels: usize) -> Vec<RestartCandidate> {
         let now = env.steady();
-        let mut choices = Vec::new();
+        let mut candidates = Vec::new();
         for machine in self.machines.values().filter(|m| m.straggler) {
             for key in &machine.places {
                 let job = &self.jobs[&key.0];
-                let place = &job.placements[&key.1];
-                let (Stage::Running, Some(since)) = (place.stage, place.running_since) else {
+                let placement = &job.placements[&key.1];
+                let (Stage::Running, Some(since)) = (placement.stage, placement.running_since) else {
                     continue;
                 };
-                if job.spec.kind != Kind::Array || place.stop.is_some() || job.restarted.contains(&key.1) {
+                if job.spec.kind != Kind::Array || placement.stop.is_some() || job.restarted.contains(&key.1) {
                     continue;
                 }
                 let Some(job_cells) = cells.get(&key.0) else {
                     continue;
                 };
-                let Some(own) = job_cells[machine.level] else {
+                let Some(own_cell) = job_cells[machine.level] else {
                     continue;
                 };
-                let table = self.table(job, job_cells, levels);
+                let table = self.level_table(job, job_cells, levels);
                 let Some((minimum, expected_s)) = minimum_level(machine.level, &table) else {
                     continue;
                 };
                 let elapsed = now.duration_since(since).as_secs_f64();
-                let gain = expected_gain_s(minimum, remaining_s(own.mean_s, elapsed), &table);
+                let gain_s = expected_gain_s(minimum, remaining_s(own_cell.mean_s, elapsed), &table);
                 tracing::debug!(
                     job = &*key.0,
                     task = key.1,
                     level = machine.level,
                     minimum,
                     expected_s,
-                    gain,
-                    "candidate"
+                    gain = gain_s,
+                    "restart candidate"
                 );
-                if gain <= 0.0 {
+                if gain_s <= 0.0 {
                     continue;
                 }
-                if let Some(target) = self.target(now, job, minimum, &machine.name) {
-                    choices.push(Choice { key: key.clone(), minimum, expected_s, gain, target });
+                if let Some(target) = self.restart_target(now, job, minimum, &machine.name) {
+                    candidates.push(RestartCandidate {
+                        key: key.clone(),
+                        minimum_level: minimum,
+                        expected_s,
+                        gain_s,
+                        target,
+                    });
                 }
             }
         }
-        choices
+        candidates
     }
 
-    /// Per level the mean run time of the type, and its containers.
-    fn table(&self, job: &Job, cells: &[Option<Cell>], levels: usize) -> Vec<(Option<f64>, f64)> {
+    /// Returns, for each level, the mean run time of the job's tasks, and the number of its tasks that fit
+    /// on the level's machines ("containers" in the paper).
+    fn level_table(&self, job: &Job, cells: &[Option<Cell>], levels: usize) -> Vec<(Option<f64>, f64)> {
         let need = Room::of(&job.spec);
         let mut table: Vec<(Option<f64>, f64)> = (0..levels).map(|l| (cells[l].map(|c| c.mean_s), 0.0)).collect();
         for machine in self.machines.values().filter(|m| m.up && m.counts() && meets_constraints(&job.spec, m)) {
@@ -183,8 +200,9 @@
         table
     }
 
-    /// A machine with room now, no straggler, at or above the minimum level.
-    fn target(&self, now: Instant, job: &Job, minimum: usize, from: &Name) -> Option<Name> {
+    /// Returns a machine for a restarted task: one with enough available resources that is not a straggler
+    /// and is at or above the minimum level.
+    fn restart_target(&self, now: Instant, job: &Job, minimum: usize, from: &Name) -> Option<Name> {
         let need = Room::of(&job.spec);
         let zones = self.eligible_zones(job);
         let fits = |m: &&Machine| {
--- a/crates/core/src/speculate/statistics.rs
+++ b/crates/core/src/speculate/statistics.rs
@@ -1,5 +1,5 @@
-//! The pure steps of the eSplash path, so that they can be checked on worked numbers: levels, cells, straggler
-//! values and the gain of a restart; and the statistics of a term.
+//! The computations of the eSplash paper as pure functions, which can be checked with worked examples: levels,
+//! cells, straggler values and the gain of a restart. Also holds the run time statistics of a term.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Instant;
@@ -9,74 +9,76 @@
 
 use crate::jobs::Name;
 
-/// Run times of finished tasks, summed so that they can be merged.
+/// Count, sum and sum of squares of the run times of finished tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Moments {
-    /// Numbers added.
+    /// Number of run times added.
     pub count: u32,
     sum: f64,
     squares: f64,
 }
 
 impl Moments {
-    /// Adds a number.
+    /// Adds a run time.
     pub fn add(&mut self, run_s: f64) {
         self.count += 1;
         self.sum += run_s;
         self.squares += run_s * run_s;
     }
 
-    /// Adds all numbers of another.
+    /// Adds all run times of another instance.
     pub fn merge(&mut self, other: &Moments) {
         self.count += other.count;
         self.sum += other.sum;
         self.squares += other.squares;
     }
 
-    /// Their mean.
+    /// Returns the mean run time.
     pub fn mean(&self) -> f64 {
         self.sum / f64::from(self.count.max(1))
     }
 
-    /// Their variance.
+    /// Returns the variance of the run times.
     pub fn variance(&self) -> f64 {
         let mean = self.mean();
         (self.squares / f64::from(self.count.max(1)) - mean * mean).max(0.0)
     }
 
-    /// The cell (μ, δ) if it may be used.
+    /// Returns the cell (μ, δ) if it has at least `minimum` run times and these are not all equal.
     pub fn cell(&self, minimum: u32) -> Option<Cell> {
         let cell = Cell { mean_s: self.mean(), std_dev_s: self.variance().sqrt() };
         (self.count >= minimum && cell.std_dev_s > 1e-9).then_some(cell)
     }
 }
 
-/// A usable cell of the statistics table.
+/// A usable cell of the statistics table: the run times of a task type at one level.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Cell {
-    /// Mean run time.
+    /// Mean run time, in seconds.
     pub mean_s: f64,
-    /// δ: the standard deviation. The paper's variance, in seconds squared, makes a task
-    /// of 40 s wait for hundreds of seconds; measured in docs/performance.md.
+    /// Standard deviation of the run time (δ), in seconds. The paper uses the variance, in seconds squared,
+    /// with which a task of 40 s would wait for hundreds of seconds before it counts as late.
     pub std_dev_s: f64,
 }
 
-/// A machine's mean run time per type of task that it has finished.
+/// A machine's mean run time per task type. Task types are the dimensions of the machine's point.
 pub type Performance = BTreeMap<Name, f64>;
 
-/// Group `a` is better than `b` in some dimension and worse in another.
+/// Whether each of two groups is slower than the other in some dimension, so that neither dominates.
 fn crossed(a: &Bounds, b: &Bounds) -> bool {
     let shared = || a.iter().filter_map(|(dim, x)| b.get(dim).map(|y| (x, y)));
     shared().any(|(x, y)| x.0 > y.1) && shared().any(|(x, y)| y.0 > x.1)
 }
 
-/// The groups overlap in some dimension.
+/// Whether two groups overlap in some dimension.
 fn overlaps(a: &Bounds, b: &Bounds) -> bool {
     a.iter().any(|(dim, x)| b.get(dim).is_some_and(|y| x.0 <= y.1 && y.0 <= x.1))
 }
 
+/// Lowest and highest mean run time of a group in each dimension.
 type Bounds = BTreeMap<Name, (f64, f64)>;
 
+/// Extends bounds to include others.
 fn widen(bounds: &mut Bounds, by: &Bounds) {
     for (dim, (low, high)) in by {
         let entry = bounds.entry(dim.clone()).or_insert((*low, *high));
@@ -84,7 +86,8 @@
     }
 }
 
-/// Algorithm 1: merges machines that do not dominate one another into groups.
+/// Algorithm 1: merges machines that don't dominate one another into groups. Returns the indices of each
+/// group's points.
 pub fn groups(points: &[Performance]) -> Vec<Vec<usize>> {
     let bounds_of = |p: &Performance| p.iter().map(|(dim, e)| (dim.clone(), (*e, *e))).collect::<Bounds>();
     let mut groups: Vec<(Vec<usize>, Bounds)> =
@@ -112,12 +115,13 @@
     groups.into_iter().map(|(members, _)| members).collect()
 }
 
-/// Mean squared difference over the dimensions that both have.
+/// Returns the mean squared difference over the dimensions that both points have.
 fn distance(a: &Performance, b: &Performance) -> f64 {
     let shared: Vec<f64> = a.iter().filter_map(|(dim, x)| b.get(dim).map(|y| (x - y) * (x - y))).collect();
     if shared.is_empty() { f64::INFINITY } else { shared.iter().sum::<f64>() / shared.len() as f64 }
 }
 
+/// Returns the mean of the member points in each dimension.
 fn center(points: &[Performance], members: &[usize]) -> Performance {
     let mut sums: BTreeMap<Name, (f64, f64)> = BTreeMap::new();
     for (dim, e) in members.iter().flat_map(|i| points[*i].iter()) {
@@ -127,8 +131,8 @@
     sums.into_iter().map(|(dim, (sum, n))| (dim, sum / n)).collect()
 }
 
-/// Algorithm 2: k-means in which a group moves as a whole, by its members' votes.
-/// Returns each point's level; a higher level is faster, and levels start at 0.
+/// Algorithm 2: k-means clustering in which a group is assigned as a whole, by a vote of its members.
+/// Returns each point's level. Levels start at 0; a higher level is faster.
 pub fn levels(points: &[Performance], k: usize, rng: &mut StdRng) -> Vec<usize> {
     let groups = groups(points);
     let k = k.min(groups.len());
@@ -138,9 +142,9 @@
     let indices: Vec<usize> = (0..points.len()).collect();
     let mut centers: Vec<Performance> = indices.sample(rng, k).map(|i| points[*i].clone()).collect();
     let mut assigned = vec![usize::MAX; groups.len()];
-    // It settles in a few rounds; the bound guards against ties that would alternate.
+    // The assignment usually converges in a few rounds. The bound stops ties that alternate forever.
     for _ in 0..50 {
-        let mut moved = false;
+        let mut changed = false;
         for (g, members) in groups.iter().enumerate() {
             let mut votes = vec![0u32; k];
             for i in members {
@@ -148,11 +152,11 @@
                     .min_by(|a, b| distance(&points[*i], &centers[*a]).total_cmp(&distance(&points[*i], &centers[*b])));
                 votes[nearest.expect("k is above 1")] += 1;
             }
-            let choice = (0..k).rev().max_by_key(|c| votes[*c]).expect("k is above 1");
-            moved |= assigned[g] != choice;
-            assigned[g] = choice;
+            let winner = (0..k).rev().max_by_key(|c| votes[*c]).expect("k is above 1");
+            changed |= assigned[g] != winner;
+            assigned[g] = winner;
         }
-        if !moved {
+        if !changed {
             break;
         }
         for (c, old) in centers.iter_mut().enumerate() {
@@ -163,7 +167,8 @@
             }
         }
     }
-    // Types differ in length: what a cluster needs in comparison orders the levels.
+    // Run times of different task types are not comparable, so the levels are ordered by each cluster's
+    // mean ratio to the overall means.
     let overall = center(points, &indices);
     let slowness = |c: usize| -> f64 {
         let ratios: Vec<f64> =
@@ -182,7 +187,9 @@
     result
 }
 
-/// A machine's straggler value: how far its tasks are past what is usual at its level.
+/// Returns a machine's straggler value: by how many standard deviations its late tasks exceed the mean run
+/// time at the machine's level, in total. `tasks` has the elapsed time, in seconds, and the cell of each
+/// running task.
 pub fn straggler_value(tasks: &[(f64, Cell)]) -> f64 {
     tasks
         .iter()
@@ -191,54 +198,61 @@
         .sum()
 }
 
-/// Algorithm 3: the minimum level of least expected time, from `from` up. `table` has
-/// for each level the mean, if known, and the containers for this type of task.
+/// Algorithm 3: returns the minimum level with the lowest expected run time, from level `from` upwards, and
+/// that run time in seconds. `table` has, for each level, the mean run time if known, and the number of
+/// containers (tasks of this type that fit on the level's machines).
 pub fn minimum_level(from: usize, table: &[(Option<f64>, f64)]) -> Option<(usize, f64)> {
     let mut best: Option<(usize, f64)> = None;
     for level in from..table.len() {
-        let known = table[level..].iter().filter_map(|(mean, containers)| mean.map(|m| (m, *containers)));
-        let (sum, all) = known.fold((0.0, 0.0), |(sum, all), (mean, c)| (sum + mean * c, all + c));
-        if all > 0.0 && best.is_none_or(|(_, least)| sum / all < least) {
-            best = Some((level, sum / all));
+        let measured = table[level..].iter().filter_map(|(mean, containers)| mean.map(|m| (m, *containers)));
+        let (sum_s, containers) = measured.fold((0.0, 0.0), |(sum, all), (mean, c)| (sum + mean * c, all + c));
+        if containers > 0.0 && best.is_none_or(|(_, lowest_s)| sum_s / containers < lowest_s) {
+            best = Some((level, sum_s / containers));
         }
     }
     best
 }
 
-/// What a restart is expected to gain, over the containers of all levels.
+/// Returns the expected gain of a restart at or above the minimum level, in seconds, averaged over the
+/// containers of all levels.
 pub fn expected_gain_s(minimum: usize, remaining_s: f64, table: &[(Option<f64>, f64)]) -> f64 {
-    let all: f64 = table.iter().map(|(_, containers)| containers).sum();
-    if all <= 0.0 {
+    let containers: f64 = table.iter().map(|(_, count)| count).sum();
+    if containers <= 0.0 {
         return 0.0;
     }
-    let won = table[minimum..].iter().filter_map(|(mean, c)| mean.map(|m| c * (remaining_s - m)));
-    won.sum::<f64>() / all
+    let gains = table[minimum..].iter().filter_map(|(mean, c)| mean.map(|m| c * (remaining_s - m)));
+    gains.sum::<f64>() / containers
 }
 
-/// How long the running task still takes: `EstEnd − now`.
-pub fn remaining_s(mean: f64, elapsed: f64) -> f64 {
-    (mean - elapsed).abs()
+/// Returns the estimated remaining time of a running task (`EstEnd − now`), in seconds. A task that has
+/// exceeded the mean run time is expected to take as long again as the excess.
+pub fn remaining_s(mean_s: f64, elapsed_s: f64) -> f64 {
+    (mean_s - elapsed_s).abs()
 }
 
-/// The leader's statistics.
+/// The leader's statistics of finished tasks, and the levels derived from them.
 #[derive(Default)]
 pub(crate) struct Speculation {
-    /// Per task type and machine; the cells of a level merge its machines'.
+    /// Run times by task type and machine. A level's cell merges those of its machines.
     pub(super) finished: HashMap<Name, BTreeMap<Name, Moments>>,
-    /// Levels of machines that are gone, so that their statistics stay in their cell.
+    /// Levels by machine, including machines that are gone, so that their run times stay in their cell.
     pub(super) levels: BTreeMap<Name, usize>,
-    pub(super) last: Option<Instant>,
+    /// When the last period began.
+    pub(super) last_tick: Option<Instant>,
 }
 
 impl Speculation {
+    /// Records the run time of a finished task.
     pub fn record_run(&mut self, job: &Name, machine: &Name, run_s: f64) {
         self.finished.entry(job.clone()).or_default().entry(machine.clone()).or_default().add(run_s);
     }
 
+    /// Drops the statistics of a job that has ended.
     pub fn forget(&mut self, job: &Name) {
         self.finished.remove(job);
     }
 
+    /// Returns the job's cell at each level, if it is usable.
     pub(super) fn cells(&self, job: &Name, levels: usize, minimum: u32) -> Vec<Option<Cell>> {
         let mut merged = vec![Moments::default(); levels];
         for (machine, moments) in self.finished.get(job).into_iter().flatten() {
