--- a/crates/core/src/rebalance.rs
+++ b/crates/core/src/rebalance.rs
@@ -1,8 +1,8 @@
-//! Load spreading: feeds the balancer with what happens, and carries out what it advises.
+//! Rebalancing: reports events to the balancer and carries out the moves that it proposes.
 //!
-//! The balancer decides nothing that a rule depends on. A move is a stop like any other, ordered
-//! once the booking and the task's mark are durable; the task gets its new place when its old one is
-//! proven empty, within its team's limit, and by the same record as every placement.
+//! No safety property depends on the balancer. A move begins with an ordinary stop, which is ordered once
+//! the booking at the destination and the task's mark are durable. The task is placed again once it is
+//! proven to be gone from its source, within its team's limit, and with the same record as every placement.
 
 use std::time::{Duration, Instant};
 
@@ -19,74 +19,76 @@
 use crate::quota::Room;
 use crate::term::Term;
 
-/// From a direct order to stop until the worker's report shows that the task is gone, beside the time
-/// to save: workers report changes at most each half second.
-const STOP_S: f64 = 0.6;
+/// Time from a direct call that orders a stop until a report shows that the task is gone, in seconds, without
+/// the task's grace period. Workers report changes at most every half second.
+const STOP_CONFIRMATION_S: f64 = 0.6;
 /// How long a vacated task waits for a destination that a new leader does not know yet.
-const KNOWN_SOON: Duration = Duration::from_secs(4);
-/// Bytes of the record of open moves that stay unused.
-const RECORD_SPARE: usize = 256;
-/// A booking that is not durable for so long waits for the state service.
-const BOOKED_SOON: Duration = Duration::from_secs(2);
+const DESTINATION_DISCOVERY: Duration = Duration::from_secs(4);
+/// Bytes of each value of the record of open moves that are left unused.
+const RECORD_SPARE_BYTES: usize = 256;
+/// A booking that has not become durable within this time is taken as a sign of a slow state service.
+const SLOW_BOOKING: Duration = Duration::from_secs(2);
+/// Time between two log lines that summarize the balance of the fleet.
 const SUMMARY_PERIOD: Duration = Duration::from_secs(60);
 
-/// Whether work may be moved to a machine: it takes tasks, is to stay, and this leader renews its
-/// lease. One that only answers calls, as after a takeover, may lose its lease before it finds the
-/// leader, and what was moved there with it.
+/// Whether tasks may be moved to a machine: it accepts tasks, is not about to be released, and reports to
+/// this leader, which thereby renews its lease. The lease of a machine that only answers direct calls, as
+/// after a takeover, may expire before its worker finds the leader, and moved tasks would be lost.
 fn is_destination(machine: &Machine, env: &Env) -> bool {
     let now = env.steady();
-    let settled = machine.in_open_zone() && !machine.zone_unhealthy;
-    settled
+    let in_healthy_zone = machine.in_open_zone() && !machine.zone_unhealthy;
+    in_healthy_zone
         && machine.usable(now)
         && machine.reports_to_us(now, env.facts.report)
         && !machine.retiring
         && !machine.straggler
 }
 
-/// Run time that a task has left, as far as is known.
-fn left_s(now: Instant, job: &Job, place: &Placement) -> f64 {
-    let ran = place.running_since.map_or(0.0, |at| now.duration_since(at).as_secs_f64());
-    (job.mean_run_s - ran).max(0.0)
+/// Returns the expected remaining run time of a task, in seconds.
+fn remaining_s(now: Instant, job: &Job, placement: &Placement) -> f64 {
+    let ran_s = placement.running_since.map_or(0.0, |at| now.duration_since(at).as_secs_f64());
+    (job.mean_run_s - ran_s).max(0.0)
 }
 
-/// What the planner sees of the fleet.
+/// The state of the fleet as the planner needs it.
 struct View<'a> {
     term: &'a Term,
     env: &'a Env,
     balancer: &'a Balancer,
-    /// CPUs on ordinary machines that may be taken without touching what is kept for services.
-    reserve_left: f64,
+    /// CPUs on on-demand machines that may be taken without using the reserve for services.
+    available_cpus: f64,
 }
 
 impl View<'_> {
+    /// Returns a task as a candidate for a move, or `None` if it must not be moved.
     fn candidate(&self, key: &TaskKey) -> Option<Candidate> {
         let now = self.env.steady();
         let job = &self.term.jobs[&key.0];
-        let place = &job.placements[&key.1];
+        let placement = &job.placements[&key.1];
         let settings = self.balancer.settings();
         let movable = job.spec.kind == Kind::Array
             && job.spec.priority != Priority::Production
             && !settings.protected.contains(&job.spec.class)
             && !job.restarted.contains(&key.1)
             && !job.was_starved
-            && place.stop.is_none()
-            && matches!(place.stage, Stage::Fetching | Stage::Running);
+            && placement.stop.is_none()
+            && matches!(placement.stage, Stage::Fetching | Stage::Running);
         if !movable {
             return None;
         }
-        let ran = place.running_since.map_or(0.0, |at| now.duration_since(at).as_secs_f64());
+        let ran_s = placement.running_since.map_or(0.0, |at| now.duration_since(at).as_secs_f64());
         let saves = job.spec.checkpoint_s > 0.0;
-        if !saves && ran > settings.fresh.as_secs_f64() {
+        if !saves && ran_s > settings.fresh.as_secs_f64() {
             return None;
         }
-        let (repeated_s, save_s) = if saves { (0.0, job.spec.save_s) } else { (ran, 0.0) };
+        let (repeated_s, save_s) = if saves { (0.0, job.spec.save_s) } else { (ran_s, 0.0) };
         Some(Candidate {
             key: key.clone(),
-            attempt: place.attempt,
+            attempt: placement.attempt,
             need: Room::of(&job.spec),
-            left_s: left_s(now, job, place),
+            left_s: remaining_s(now, job, placement),
             repeated_s,
-            stop_s: save_s + STOP_S,
+            stop_s: save_s + STOP_CONFIRMATION_S,
         })
     }
 }
@@ -97,7 +99,7 @@
         let mut candidates: Vec<Candidate> = Vec::new();
         for candidate in machine.places.iter().filter_map(|key| self.candidate(key)) {
             match candidates.iter_mut().find(|other| other.key.0 == candidate.key.0) {
-                // Tasks of a job are alike: the one with the most left gains the most.
+                // Tasks of a job are alike, so the one with the most remaining run time gains the most.
                 Some(other) if other.left_s >= candidate.left_s => {}
                 Some(other) => *other = candidate,
                 None => candidates.push(candidate),
@@ -110,25 +112,25 @@
         let now = self.env.steady();
         let horizon = self.balancer.settings().service_horizon.as_secs_f64();
         let places = self.term.machines.get(machine).into_iter().flat_map(|machine| &machine.places);
-        let left = places.map(|(name, task)| {
+        let remaining = places.map(|(name, task)| {
             let job = &self.term.jobs[name];
-            if job.spec.kind == Kind::Service { horizon } else { left_s(now, job, &job.placements[task]) }
+            if job.spec.kind == Kind::Service { horizon } else { remaining_s(now, job, &job.placements[task]) }
         });
-        left.sum()
+        remaining.sum()
     }
 
     fn fits(&self, task: &Candidate, machine: &Name) -> bool {
         let job = &self.term.jobs[&task.key.0];
         let Some(target) = self.term.machines.get(machine) else { return false };
-        let reserved = !target.spot && self.reserve_left < task.need.cpus;
-        let room = self.term.room_without(self.balancer, target, &job.id);
+        let reserved = !target.spot && self.available_cpus < task.need.cpus;
+        let available = self.term.available_without_term_balancer(self.balancer, target, &job.id);
         is_destination(target, self.env)
             && !reserved
             && target.claim.is_none()
             && meets_constraints(&job.spec, target)
             && !job.avoids(machine)
             && self.term.eligible_zones(job).is_none_or(|zones| zones.contains(&target.zone))
-            && room.holds(task.need)
+            && available.holds(task.need)
     }
 
     fn fetch_s(&self, task: &Candidate, machine: &Name) -> f64 {
@@ -138,38 +140,38 @@
 }
 
 impl Term {
-    // What happens, told to the balancer.
+    // Events that are reported to the balancer.
 
-    /// A task has a place.
+    /// Records that a task was placed.
     pub fn note_placement_started(&mut self, now: Instant, key: &TaskKey, machine: &Name) {
         let spec = &self.jobs[&key.0].spec;
         let Some(balancer) = &mut self.balance else { return };
         balancer.placed(now, key, machine, &Name::from(spec.team.as_str()), Room::of(spec));
     }
 
-    /// A worker reports a task in another state.
+    /// Records that a worker reported a new state of a task.
     pub fn note_move_progress(&mut self, now: Instant, key: &TaskKey, state: TaskState) {
         let Some(balancer) = &mut self.balance else { return };
         match state {
             TaskState::Running => {
                 let ended = balancer.running(key);
-                self.move_ended(ended);
+                self.finish_move(ended);
             }
             TaskState::Saving => balancer.saving(now, key),
             TaskState::Fetching | TaskState::Exited => {}
         }
     }
 
-    /// A task has left its place; `waits` if it cannot start again at once.
-    pub fn note_placement_ended(&mut self, now: Instant, key: &TaskKey, waits: bool) {
-        let ended = waits || self.jobs.get(&key.0).is_none_or(|job| job.cancelled || job.is_done(key.1));
+    /// Records that a task is gone from its machine. `delayed` tells whether it must not start again at once.
+    pub fn note_placement_ended(&mut self, now: Instant, key: &TaskKey, delayed: bool) {
+        let move_ends = delayed || self.jobs.get(&key.0).is_none_or(|job| job.cancelled || job.is_done(key.1));
         let Some(balancer) = &mut self.balance else { return };
-        let ended = balancer.left(now, key, ended);
+        let ended = balancer.left(now, key, move_ends);
         self.vacated_due = true;
-        self.move_ended(ended);
+        self.finish_move(ended);
     }
 
-    /// A machine is gone: what was on its way there goes elsewhere.
+    /// Gives up the moves to a machine that is gone.
     pub fn destination_gone(&mut self, name: &Name) {
         let Some(balancer) = &mut self.balance else { return };
         for key in balancer.machine_gone(name) {
@@ -177,7 +179,7 @@
         }
     }
 
-    /// A job is cancelled: its moves end.
+    /// Gives up the moves of a cancelled job.
     pub fn cancel_moves_of(&mut self, job: &Name) {
         let Some(balancer) = &self.balance else { return };
         for key in balancer.moves().of_job(job) {
@@ -185,9 +187,9 @@
         }
     }
 
-    // What the balancer advises.
+    // Decisions of the balancer.
 
-    /// Whether a team that is beyond its guarantee may have one more task of the job placed.
+    /// Whether one more task of a job may be placed although its team is beyond its guarantee.
     pub fn may_borrow(&mut self, now: Instant, name: &Name) -> bool {
         let job = &self.jobs[name];
         let Some(balancer) = &mut self.balance else { return true };
@@ -200,12 +202,14 @@
         self.balance.as_ref().is_some_and(|balancer| balancer.shares().weighted_share(balancer.load(), team) > 1.0)
     }
 
-    /// Free room on a machine for a job, by the bookings of a balancer that is taken out of the term.
-    fn room_without(&self, balancer: &Balancer, machine: &Machine, job: &Name) -> Room {
+    /// Returns the resources of a machine that are available to a job, with the bookings of a balancer that
+    /// was taken out of the term.
+    fn available_without_term_balancer(&self, balancer: &Balancer, machine: &Machine, job: &Name) -> Room {
         self.available_resources(machine, job).minus(balancer.load().booked(&machine.name))
     }
 
-    /// Once a second: the balancer learns which machines take work, and moves begin that pay.
+    /// Called once a second: updates the balancer's view of the machines, begins worthwhile moves and gives
+    /// up those that take too long.
     pub fn rebalance_tick(&mut self, env: &mut Env) {
         let now = env.steady();
         let Some(mut balancer) = self.balance.take() else { return };
@@ -220,10 +224,10 @@
             balancer.machine(&machine.name, info);
         }
         let overdue = balancer.tick(now);
-        // While bookings wait to be durable the state service is slow or silent: more would be no use.
+        // While bookings wait for a slow or unavailable state service, more of them would not help.
         if !self.survey_suspects()
             && !self.evacuates()
-            && !balancer.moves().waits_longer(now, MoveState::Booked, BOOKED_SOON)
+            && !balancer.moves().waits_longer(now, MoveState::Booked, SLOW_BOOKING)
         {
             self.begin_moves(env, &mut balancer);
         }
@@ -236,13 +240,15 @@
         self.vacated_due = true;
     }
 
+    /// Ends a task's move, if it has one, for the given reason.
     fn give_up_move(&mut self, key: &TaskKey, reason: GiveUp) {
         let ended = self.balance.as_mut().and_then(|balancer| balancer.give_up(key, reason));
-        self.move_ended(ended);
+        self.finish_move(ended);
     }
 
-    /// A move has ended. A task that was never ordered to stop was not moved, and may be later.
-    fn move_ended(&mut self, ended: Option<(Move, MoveEnd)>) {
+    /// Logs the end of a move. A task that was never ordered to stop was not moved, so its mark is removed
+    /// and it may be moved later.
+    fn finish_move(&mut self, ended: Option<(Move, MoveEnd)>) {
         let Some((open, end)) = ended else { return };
         let (name, task) = &open.key;
         let (from, to, state) = (&*open.from, &*open.to, open.state);
@@ -258,18 +264,19 @@
         }
     }
 
+    /// Begins the moves that the balancer proposes.
     fn begin_moves(&mut self, env: &Env, balancer: &mut Balancer) {
         let now = env.steady();
-        let mut reserve_left = self.free_on_demand_cpus(now) - self.renting.service_reserve(env);
-        let record_bytes = env.facts.value_bytes.saturating_sub(RECORD_SPARE);
+        let mut available_cpus = self.free_on_demand_cpus(now) - self.renting.service_reserve(env);
+        let record_bytes = env.facts.value_bytes.saturating_sub(RECORD_SPARE_BYTES);
         loop {
-            let view = View { term: self, env, balancer, reserve_left };
+            let view = View { term: self, env, balancer, available_cpus };
             let Some((proposal, part)) = balancer.propose(&view, record_bytes) else { return };
             balancer.begin(now, &proposal, part);
             let key = &proposal.task.key;
             let (from, to) = (&self.machines[&proposal.from], &self.machines[&proposal.to]);
             if from.spot && !to.spot {
-                reserve_left -= proposal.task.need.cpus;
+                available_cpus -= proposal.task.need.cpus;
             }
             tracing::debug!(
                 job = &*key.0,
@@ -279,15 +286,17 @@
                 gain_s = proposal.gain_s,
                 "move booked"
             );
-            // The mark is written beside the booking: whoever leads next, the task is moved once.
+            // The mark is written together with the booking, so that the task is moved only once, also after a
+            // change of leader.
             let job = self.jobs.get_mut(&key.0).expect("a candidate");
             job.restarted.insert(key.1);
             self.records.changed(key.clone(), None);
         }
     }
 
-    /// A value of the record of open moves, if it may be written: `durable_with` tells whether a task's
-    /// mark is durable, or written with it. With it come the moves that wait for that.
+    /// Returns one value of the record of open moves, with the task and attempt of each move that waits for
+    /// it to be durable; `None` if it must not be written yet. `durable_with` tells whether a task's mark is
+    /// durable or written in the same transaction.
     pub fn open_moves_record(
         &mut self,
         part: usize,
@@ -303,25 +312,27 @@
         Some((record, booked))
     }
 
-    /// Values of the record of open moves that must be written.
+    /// Returns the indices of the values of the record of open moves that must be written.
     pub fn unwritten_move_parts(&self) -> Vec<usize> {
         self.balance.as_ref().map(|balancer| balancer.moves().unwritten()).unwrap_or_default()
     }
 
-    /// A write of values of the record failed, or is in doubt.
+    /// Marks values of the record of open moves as unwritten, because a write failed or its outcome is
+    /// unknown.
     pub fn mark_moves_unwritten(&mut self, parts: &[usize]) {
         if let Some(balancer) = &mut self.balance {
             parts.iter().for_each(|part| balancer.record_is_stale(*part));
         }
     }
 
-    /// Bookings are durable: their tasks are stopped, unless something has changed meanwhile.
+    /// Stops the tasks of moves whose bookings have become durable, unless the situation has changed.
     pub fn start_durable_moves(&mut self, env: &mut Env, booked: Vec<(TaskKey, u64)>) {
         for (key, attempt) in booked {
             self.stop_for_move(env, &key, attempt);
         }
     }
 
+    /// Stops a task whose booking is durable, or gives up its move.
     fn stop_for_move(&mut self, env: &mut Env, key: &TaskKey, attempt: u64) {
         let now = env.steady();
         let Some(balancer) = &self.balance else { return };
@@ -329,9 +340,9 @@
         else {
             return;
         };
-        let place = self.jobs.get(&key.0).and_then(|job| job.placements.get(&key.1));
-        // Stopped for another reason, or ended and begun anew.
-        if place.is_none_or(|place| place.attempt != attempt || place.stop.is_some()) {
+        let placement = self.jobs.get(&key.0).and_then(|job| job.placements.get(&key.1));
+        // The task was stopped for another reason, or has ended and may have been restarted.
+        if placement.is_none_or(|placement| placement.attempt != attempt || placement.stop.is_some()) {
             self.give_up_move(key, GiveUp::LeftEarly);
             return;
         }
@@ -340,7 +351,7 @@
         let reason = match target {
             None => Some(GiveUp::DestinationGone),
             Some(target) if !is_destination(target, env) => Some(GiveUp::DestinationUnfit),
-            Some(target) if !self.booked_room(target, need) => Some(GiveUp::DestinationFull),
+            Some(target) if !self.has_booked_resources(target, need) => Some(GiveUp::DestinationFull),
             Some(_) => None,
         };
         if let Some(reason) = reason {
@@ -354,12 +365,13 @@
         }
     }
 
-    /// Whether the room that is booked on a machine for a task is there.
-    fn booked_room(&self, machine: &Machine, need: Room) -> bool {
+    /// Whether the resources that are booked on a machine for a task are still free.
+    fn has_booked_resources(&self, machine: &Machine, need: Room) -> bool {
         self.free_resources(machine).plus(need).holds(need)
     }
 
-    /// Gives vacated tasks their new places, before anything else can take the room or their team's part.
+    /// Places vacated tasks at their destinations, before other tasks can take the resources or the team's
+    /// quota.
     pub fn place_vacated_tasks(&mut self, env: &Env) {
         if !std::mem::take(&mut self.vacated_due) {
             return;
@@ -372,20 +384,21 @@
         }
     }
 
+    /// Places a vacated task at its destination, or gives up its move.
     fn place_moved(&mut self, env: &Env, open: &Move) {
         let now = env.steady();
         let (name, task) = &open.key;
-        let waits = self.jobs.get(name).is_some_and(|job| job.is_requeued(*task));
+        let requeued = self.jobs.get(name).is_some_and(|job| job.is_requeued(*task));
         let reason = match self.machines.get(&open.to) {
-            _ if !waits => Some(GiveUp::PlacedElsewhere),
-            // Placement goes by tiers.
+            _ if !requeued => Some(GiveUp::PlacedElsewhere),
+            // During an evacuation, tasks are placed in the order of their tiers.
             _ if self.evacuates() => Some(GiveUp::Evacuation),
-            // A new leader may not know it yet, or not have reached it.
-            Some(target) if !target.is_known() && now.duration_since(open.since) < KNOWN_SOON => return,
-            None if now.duration_since(open.since) < KNOWN_SOON => return,
+            // A new leader may not know or have reached the destination yet.
+            Some(target) if !target.is_known() && now.duration_since(open.since) < DESTINATION_DISCOVERY => return,
+            None if now.duration_since(open.since) < DESTINATION_DISCOVERY => return,
             None => Some(GiveUp::DestinationGone),
             Some(target) if !target.usable(now) => Some(GiveUp::DestinationUnfit),
-            Some(target) if !self.takes_moved(target, open) => Some(GiveUp::DestinationFull),
+            Some(target) if !self.accepts_moved(target, open) => Some(GiveUp::DestinationFull),
             Some(_) => None,
         };
         if let Some(reason) = reason {
@@ -396,22 +409,25 @@
         self.place_task(name, *task, &open.to, now);
     }
 
-    fn takes_moved(&self, target: &Machine, open: &Move) -> bool {
+    /// Whether the team's limit, the job's constraints and the booked resources allow the move's task at its
+    /// destination.
+    fn accepts_moved(&self, target: &Machine, open: &Move) -> bool {
         let job = &self.jobs[&open.key.0];
         !self.is_at_team_limit(&job.spec.team, open.need)
             && meets_constraints(&job.spec, target)
             && self.eligible_zones(job).is_none_or(|zones| zones.contains(&target.zone))
-            && self.booked_room(target, open.need)
+            && self.has_booked_resources(target, open.need)
     }
 
-    /// Takes over the open moves of an earlier leader. One is finished if its task has left the source, or
-    /// saves there; one whose task runs on is dropped once its worker tells, and any other at once.
+    /// Restores the open moves of an earlier leader. A move is completed if its task is gone from the source
+    /// or saving a checkpoint there. If the task is still running, the move is given up once the worker
+    /// reports it. Moves that no longer match the task's state are dropped at once.
     pub fn restore_moves(&mut self, env: &Env) {
-        let (mut taken, mut dropped) = (0, 0);
+        let (mut restored, mut dropped) = (0, 0);
         for (part, record) in std::mem::take(&mut self.loaded_moves) {
             for open in &record.moves {
-                match self.adopt_move(env, part, open) {
-                    true => taken += 1,
+                match self.restore_move(env, part, open) {
+                    true => restored += 1,
                     false => dropped += 1,
                 }
             }
@@ -419,23 +435,24 @@
                 self.mark_moves_unwritten(&[part]);
             }
         }
-        if taken + dropped > 0 {
-            tracing::info!(taken, dropped, "open moves of an earlier leader");
+        if restored + dropped > 0 {
+            tracing::info!(taken = restored, dropped, "restored the open moves of an earlier leader");
         }
         self.vacated_due = true;
     }
 
-    fn adopt_move(&mut self, env: &Env, part: usize, open: &OpenMove) -> bool {
+    /// Restores one open move. Returns `false` if it is dropped because it no longer matches the task's state.
+    fn restore_move(&mut self, env: &Env, part: usize, open: &OpenMove) -> bool {
         let now = env.steady();
         let Some(job) = self.jobs.get_mut(open.job.as_str()) else { return false };
         let vacated = job.is_requeued(open.task);
-        let at_source = job.placements.get(&open.task).is_some_and(|place| place.attempt == open.attempt);
-        // Else it was moved, restarted or ended since, by a leader that knows nothing of moves perhaps.
+        let at_source = job.placements.get(&open.task).is_some_and(|placement| placement.attempt == open.attempt);
+        // Otherwise the task was moved, restarted or ended since, possibly by a leader without rebalancing.
         if job.cancelled || !job.restarted.contains(&open.task) || !(vacated || at_source) {
             return false;
         }
         if vacated {
-            job.requeue(open.task, now + KNOWN_SOON);
+            job.requeue(open.task, now + DESTINATION_DISCOVERY);
         }
         let need = Room::of(&job.spec);
         if let Some(balancer) = &mut self.balance {
