--- a/crates/core/src/rent.rs
+++ b/crates/core/src/rent.rs
@@ -1,5 +1,7 @@
-//! Renting and returning machines: capacity for what waits, some ahead of need, and
-//! back when it stands idle. Request names never repeat, since each holds the token.
+//! Rents machines from the cloud for waiting work and for the configured headroom, and releases
+//! idle ones.
+//!
+//! The name of a rental request contains the leader's fencing token, so names are never reused.
 
 mod demand;
 mod releases;
@@ -20,48 +22,51 @@
 use demand::shortfall;
 use renting::Market;
 
-/// Most machines in one rental, and in one return.
+/// Largest number of machines in one rental request.
 const MAX_MACHINES_PER_RENTAL: u32 = 50;
+/// Largest number of machines in one release request.
 const MAX_MACHINES_PER_RELEASE: usize = 100;
-/// Share of the cloud's calls a second that go into rentals, and the least number: the rest
-/// is for returns and lists.
+/// Share of the cloud's call rate limit used for rentals; the rest is for releases and listings.
 const RENTAL_CALL_SHARE: f64 = 0.5;
+/// Minimum number of rental requests per second, whatever the rate limit.
 const MIN_RENTALS_PER_S: f64 = 2.0;
-/// A refused kind of machine is asked for again after this time.
+/// Time for which a machine type is not requested in a zone after the cloud had no capacity.
 const NO_CAPACITY_BACKOFF: Duration = Duration::from_secs(6);
+/// Delay before a failed call to the cloud is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(1200);
-/// Boot times after which a machine is no longer counted on, and given up.
+/// Multiple of the usual boot time after which a booting machine no longer counts as supply.
 const LATE_AFTER_BOOT_TIMES: f64 = 2.0;
+/// Multiple of the usual boot time after which a machine that never reported is released.
 const LOST_AFTER_BOOT_TIMES: f64 = 5.0;
-/// The cloud charges a machine for at least this time.
+/// Minimum time that the cloud charges for a machine; idle machines are kept for as long.
 const MIN_CHARGED_TIME: Duration = Duration::from_secs(58);
-/// A task that was started is left alone for this time before it is moved: the users do
-/// not count starts that are stopped sooner.
+/// Minimum run time of a task before it may be moved: users do not count a start that is stopped
+/// sooner.
 const MIN_RUN_BEFORE_MOVE_S: f64 = 32.0;
-/// Replicas that may be moved each second, as a share of those that run. A move takes a few
-/// tenths of a second where the image is cached, so this costs them a thousandth of their time.
+/// Replicas that may be moved each second, as a share of the running ones. A move takes a few
+/// tenths of a second where the image is cached, so this costs the replicas a thousandth of their time.
 const REPLICA_MOVES_PER_S_SHARE: f64 = 0.0025;
-/// What a machine with replicas counts as taking to become empty.
+/// Assumed time until a machine with replicas becomes empty; they end only with their service.
 const SERVICE_EMPTY_TIME_S: f64 = 1e6;
-/// Moves that may be saved up.
+/// Largest number of unused replica moves that accumulate.
 const MAX_SAVED_MOVES: f64 = 8.0;
 
-/// What is wanted or had of one kind, in machines of a type.
-fn machines_needed(room: Room, kind: &MachineType) -> f64 {
-    let part = |want: f64, have: f64| {
-        if want <= 0.0 {
+/// Returns the number of machines of a type that provide the resources; infinite if the type lacks one of them.
+fn machines_needed(need: Room, kind: &MachineType) -> f64 {
+    let ratio = |needed: f64, provided: f64| {
+        if needed <= 0.0 {
             0.0
-        } else if have > 0.0 {
-            want / have
+        } else if provided > 0.0 {
+            needed / provided
         } else {
             f64::INFINITY
         }
     };
-    part(room.cpus, kind.cpus).max(part(room.gpus, kind.gpus)).max(part(room.memory_gb, kind.memory_gb))
+    ratio(need.cpus, kind.cpus).max(ratio(need.gpus, kind.gpus)).max(ratio(need.memory_gb, kind.memory_gb))
 }
 
 impl Term {
-    /// Once a second.
+    /// Rents and releases machines; called once a second.
     pub fn rent_tick(&mut self, env: &mut Env) {
         let now = env.steady();
         self.retry_rentals(env);
@@ -74,6 +79,7 @@
         self.send_releases(env, now);
     }
 
+    /// Requests the next page of the cloud's list of machines when it is due.
     fn request_listing(&mut self, env: &mut Env) {
         let now = env.steady();
         let period = (env.facts.list_lag / 2).clamp(Duration::from_secs(2), Duration::from_secs(10));
@@ -86,43 +92,44 @@
         }
     }
 
-    /// Rents machines for `room`; spot work falls back on ordinary machines. All of it at
-    /// once, as far as the cloud's calls go: in a large fleet a part each second would take
-    /// minutes, while jobs wait for their first task.
-    fn rent_resources(&mut self, env: &mut Env, mut room: Room, spot: bool, within: Option<&[String]>) {
+    /// Rents machines for `need`, in the zones `within` if given; spot work falls back on ordinary machines.
+    ///
+    /// All machines are requested at once, within the limit on calls to the cloud: in a large fleet, renting
+    /// a part each second would take minutes while jobs wait for their first task.
+    fn rent_resources(&mut self, env: &mut Env, mut need: Room, spot: bool, within: Option<&[String]>) {
         let now = env.steady();
         self.renting.no_capacity_until.retain(|_, until| *until > now);
-        let mut there: BTreeMap<String, u32> = BTreeMap::new();
+        let mut machines_by_zone: BTreeMap<String, u32> = BTreeMap::new();
         for machine in self.machines.values() {
-            *there.entry(machine.zone.clone()).or_default() += 1;
+            *machines_by_zone.entry(machine.zone.clone()).or_default() += 1;
         }
-        while !room.is_nothing() && self.renting.rentals_left > 0 {
+        while !need.is_nothing() && self.renting.rentals_left > 0 {
             let mut options: Vec<(f64, f64, Market)> = Vec::new();
             for kind in env.types.iter() {
-                let count = machines_needed(room, kind);
+                let count = machines_needed(need, kind);
                 if !count.is_finite() {
                     continue;
                 }
                 let price = if spot { kind.spot_price.unwrap_or(f64::INFINITY) } else { kind.price };
                 for zone in kind.zones.iter().filter(|z| within.is_none_or(|w| w.contains(z))) {
                     let market = (kind.name.clone(), zone.clone(), spot);
-                    let busy = self.renting.no_capacity_until.contains_key(&market);
+                    let no_capacity = self.renting.no_capacity_until.contains_key(&market);
                     let closed = self.zone_is_unreachable(zone) || self.zone_is_closed(zone);
-                    if price.is_finite() && !busy && !closed {
+                    if price.is_finite() && !no_capacity && !closed {
                         options.push((price * count, count, market));
                     }
                 }
             }
-            // Among equals the zone with the fewest machines, so that no zone holds all.
-            let held = |market: &Market| there.get(&market.1).copied().unwrap_or(0);
-            options.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| held(&a.2).cmp(&held(&b.2))));
+            // Equal costs: the zone with the fewest machines first, so that no zone holds all.
+            let zone_machines = |market: &Market| machines_by_zone.get(&market.1).copied().unwrap_or(0);
+            options.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| zone_machines(&a.2).cmp(&zone_machines(&b.2))));
             let Some((cost, count, (kind, zone, _))) = options.first().cloned() else {
                 if spot {
-                    self.rent_resources(env, room, false, within);
+                    self.rent_resources(env, need, false, within);
                 }
                 return;
             };
-            // Spread over the zones that are as good.
+            // Spread over the zones with the same cost.
             let zones = options.iter().filter(|option| option.0 <= cost).count() as u32;
             let count = (count.ceil() as u32).max(1).div_ceil(zones).min(MAX_MACHINES_PER_RENTAL);
             self.renting.rentals_left -= 1;
@@ -131,26 +138,28 @@
             tracing::info!(request, kind, zone, spot, count, "renting");
             if let Some(kind) = env.type_named(&kind) {
                 let rented = Room { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
-                room = shortfall(room, rented.scaled(f64::from(count)));
+                need = shortfall(need, rented.scaled(f64::from(count)));
             }
-            *there.entry(zone.clone()).or_default() += count;
+            *machines_by_zone.entry(zone.clone()).or_default() += count;
             self.send_rental(env, Rental { request, kind, zone, spot, count });
         }
     }
 
+    /// Sends a rental request and tracks it until the cloud responds.
     fn send_rental(&mut self, env: &mut Env, rental: Rental) {
         self.renting.open_rentals.push((rental.clone(), env.steady()));
         env.cloud(Purpose::Rent(RentCall::Rent(rental.clone())), CloudOp::Rent(rental));
     }
 
+    /// Sends rental requests again, under the same name, that have had no response for too long.
     fn retry_rentals(&mut self, env: &mut Env) {
         let now = env.steady();
-        let wait = Duration::from_secs(8);
+        let timeout = Duration::from_secs(8);
         let due: Vec<Rental> = self
             .renting
             .open_rentals
             .iter()
-            .filter(|(_, at)| now.duration_since(*at) > wait)
+            .filter(|(_, at)| now.duration_since(*at) > timeout)
             .map(|(r, _)| r.clone())
             .collect();
         for rental in due {
@@ -159,7 +168,7 @@
         }
     }
 
-    /// A call to the cloud has an outcome.
+    /// Handles the outcome of a call to the cloud.
     pub fn cloud_call_outcome(&mut self, env: &mut Env, call: RentCall, outcome: Outcome<CloudAnswer>) {
         match call {
             RentCall::Rent(rental) => self.rental_outcome(env, rental, outcome),
@@ -173,18 +182,19 @@
         }
     }
 
+    /// Handles the outcome of a rental request.
     fn rental_outcome(&mut self, env: &mut Env, rental: Rental, outcome: Outcome<CloudAnswer>) {
         let now = env.steady();
-        // Unanswered: it may have been carried out, so it is repeated by name.
+        // The request may have been carried out, so it is retried under its name.
         if matches!(outcome, Outcome::Unknown) {
             return;
         }
-        let asked = self.renting.open_rentals.len();
+        let open_before = self.renting.open_rentals.len();
         self.renting.open_rentals.retain(|(open, _)| open.request != rental.request);
-        let answered_before = self.renting.open_rentals.len() == asked;
+        let already_answered = self.renting.open_rentals.len() == open_before;
         let market = (rental.kind.clone(), rental.zone.clone(), rental.spot);
         match outcome {
-            Outcome::Answered(CloudAnswer::Rented(_)) if answered_before => {}
+            Outcome::Answered(CloudAnswer::Rented(_)) if already_answered => {}
             Outcome::Answered(CloudAnswer::Rented(names)) => {
                 if (names.len() as u32) < rental.count {
                     self.renting.no_capacity_until.insert(market, now + NO_CAPACITY_BACKOFF);
@@ -203,7 +213,7 @@
         }
     }
 
-    /// Machines that were rented will come up.
+    /// Adds machines that were rented and will boot.
     fn add_rented_machines(&mut self, env: &Env, rental: &Rental, names: Vec<String>) {
         let Some(kind) = env.type_named(&rental.kind) else { return };
         for name in names {
@@ -213,20 +223,21 @@
         }
     }
 
+    /// Handles the outcome of a release request.
     fn release_outcome(&mut self, env: &mut Env, names: Vec<Name>, outcome: Outcome<CloudAnswer>) {
         self.renting.release_in_flight = false;
         if matches!(outcome, Outcome::Answered(CloudAnswer::Released)) {
             for name in names {
-                tracing::info!(machine = &*name, "returned");
+                tracing::info!(machine = &*name, "released");
                 self.machine_gone(env, &name);
             }
             return;
         }
         self.renting.release_retry_at = Some(env.steady() + RETRY_DELAY);
-        let unsure = matches!(outcome, Outcome::Unknown);
+        let maybe_released = matches!(outcome, Outcome::Unknown);
         for name in names {
-            // Surely not returned: it may be used again if it is heard of.
-            if let Some(machine) = self.machines.get_mut(&name).filter(|_| !unsure) {
+            // A machine that was certainly not released may be used again once its worker reports.
+            if let Some(machine) = self.machines.get_mut(&name).filter(|_| !maybe_released) {
                 machine.release_sent = None;
                 machine.leaving = machine.suspect;
             }
@@ -234,6 +245,7 @@
         }
     }
 
+    /// Applies one page of the cloud's list of machines.
     fn apply_listing(&mut self, env: &mut Env, listing: &Listing) {
         for listed in &listing.machines {
             self.machine_listed(env, listed);
@@ -241,7 +253,7 @@
         let last = listing.machines.last().map(|m| m.id.clone());
         self.renting.listing_after = last.filter(|_| listing.more);
         if self.renting.listing_after.is_some() {
-            // A fleet of thousands takes many pages, and nothing is rented before all are read.
+            // The next page is due at once: a fleet of thousands takes many, and nothing is rented before all are read.
             self.renting.last_listing = None;
             self.request_listing(env);
         } else {
--- a/crates/core/src/rent/demand.rs
+++ b/crates/core/src/rent/demand.rs
@@ -1,4 +1,5 @@
-//! What waits, what runs and what must be kept free, against the machines that are there or come.
+//! Compares the demand for resources (waiting tasks, tasks that will need a new machine, headroom) with the
+//! supply of machines that run, boot or were requested.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,58 +10,62 @@
 
 use super::{LATE_AFTER_BOOT_TIMES, MIN_RENTALS_PER_S, RENTAL_CALL_SHARE};
 
-/// What a type of machine takes to boot if the cloud does not say.
+/// Boot time of a machine type if the cloud does not give it.
 const DEFAULT_BOOT_S: f64 = 60.0;
 
-/// Zones that a job is bound to, and whether it may use spot machines.
+/// The zones that a job is limited to, and whether it may use spot machines.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ZoneConstraint {
     zones: Vec<String>,
     spot: bool,
 }
 
-/// Room that work needs.
+/// Resources that tasks need.
 #[derive(Default)]
 struct Demand {
-    /// Of work that may use spot machines.
+    /// Resources for tasks that may use spot machines.
     spot: Room,
-    /// Of work that may not.
+    /// Resources for tasks that may not.
     ordinary: Room,
-    /// Of work that is bound to zones.
+    /// Resources for tasks that are limited to zones.
     zone_bound: BTreeMap<ZoneConstraint, Room>,
 }
 
 impl Demand {
+    /// Adds demand that is not limited to zones.
     fn add(&mut self, spot: bool, need: Room) {
-        let room = if spot { &mut self.spot } else { &mut self.ordinary };
-        room.add(need);
+        let total = if spot { &mut self.spot } else { &mut self.ordinary };
+        total.add(need);
     }
 }
 
-/// Room that is free, or will be.
+/// Resources that are free now or once machines have booted.
 #[derive(Default)]
 struct Supply {
+    /// Free resources of spot machines.
     spot: Room,
+    /// Free resources of ordinary machines.
     ordinary: Room,
-    /// By zone, and whether on spot machines.
+    /// Free resources by zone and whether the machines are spot machines.
     zones: BTreeMap<(String, bool), Room>,
-    /// CPUs that are in use.
+    /// CPUs in use.
     in_use: f64,
 }
 
 impl Supply {
+    /// Adds free resources in a zone.
     fn add(&mut self, zone: &str, spot: bool, free: Room) {
-        let room = if spot { &mut self.spot } else { &mut self.ordinary };
-        room.add(free);
+        let total = if spot { &mut self.spot } else { &mut self.ordinary };
+        total.add(free);
         self.zones.entry((zone.to_owned(), spot)).or_default().add(free);
     }
 
-    /// What is free for work that is bound to zones.
+    /// Returns the free resources for tasks with this zone constraint.
     fn within(&self, constraint: &ZoneConstraint) -> Room {
         let mut free = Room::default();
-        for ((zone, spot), room) in &self.zones {
+        for ((zone, spot), free_in_zone) in &self.zones {
             if constraint.zones.contains(zone) && (constraint.spot || !spot) {
-                free.add(*room);
+                free.add(*free_in_zone);
             }
         }
         free
@@ -68,7 +73,8 @@
 }
 
 impl Term {
-    /// Tasks of a job that wait and that its team's limit would let run.
+    /// Returns the number of waiting tasks of a job that its team's quota would let start, and takes them from
+    /// `quota_left`, the CPUs left to each team.
     fn startable_tasks(&self, job: &Job, quota_left: &mut BTreeMap<String, f64>) -> f64 {
         let waiting = job.waiting();
         if waiting == 0 {
@@ -78,13 +84,14 @@
             .entry(job.spec.team.clone())
             .or_insert_with(|| self.quotas.usage(&job.spec.team).map_or(0.0, |u| u.team.cpus_max - u.cpus));
         let cpus = job.spec.cpus;
-        let fit = if cpus > 0.0 { (*left / cpus).max(0.0) as u32 } else { waiting };
-        let tasks = f64::from(waiting.min(fit));
+        let allowed = if cpus > 0.0 { (*left / cpus).max(0.0) as u32 } else { waiting };
+        let tasks = f64::from(waiting.min(allowed));
         *left -= tasks * cpus;
         tasks
     }
 
-    /// Demand that has no room yet, and what must be kept free, by kind of machine.
+    /// Rents machines for the demand, reserve and headroom that the supply does not cover, and chooses the
+    /// machines to retire.
     pub(super) fn rent_shortfall(&mut self, env: &mut Env) {
         self.renting.rentals_left = (env.facts.cloud_rps * RENTAL_CALL_SHARE).max(MIN_RENTALS_PER_S) as usize;
         self.rent_by_tiers(env);
@@ -98,7 +105,7 @@
         if !self.jobs.is_empty() {
             demand.spot.cpus += headroom;
         }
-        // What ordinary machines have left over serves spot work too.
+        // Free resources of ordinary machines serve spot work too.
         let left_over = (supply.ordinary.cpus - demand.ordinary.cpus).max(0.0);
         self.choose_retiring(env, supply.in_use + demand.spot.cpus + demand.ordinary.cpus);
         demand.spot.cpus = (demand.spot.cpus - left_over).max(0.0);
@@ -106,8 +113,8 @@
         self.rent_resources(env, shortfall(demand.spot, supply.spot), true, None);
     }
 
-    /// While a zone is evacuated, what each tier and those before it lack is asked for before anything of
-    /// a later one: the cloud's calls and machines may not do for all.
+    /// While a zone is evacuated, rents what each tier and the tiers before it lack before anything for a later
+    /// tier: the calls to the cloud and its machines may not suffice for all.
     fn rent_by_tiers(&mut self, env: &mut Env) {
         if !self.is_evacuating() {
             return;
@@ -125,8 +132,8 @@
         }
     }
 
-    /// Rents for work that is bound to zones, and leaves in the demand what has room there: it takes its
-    /// part of what is free, wherever that is.
+    /// Rents machines for tasks that are limited to zones. The part of their demand that the free resources of
+    /// those zones cover is added to the general demand, since it uses up a part of the supply.
     fn rent_zone_bound(&mut self, env: &mut Env, demand: &mut Demand, supply: &Supply) {
         for (constraint, need) in std::mem::take(&mut demand.zone_bound) {
             let gap = shortfall(need, supply.within(&constraint));
@@ -137,18 +144,18 @@
         }
     }
 
-    /// Room for what waits and may start, and for what will have to start elsewhere, of the tiers that
-    /// are wanted. Earlier tiers use up their teams' limits first.
-    fn demand(&self, wanted: impl Fn(usize) -> bool) -> Demand {
+    /// Returns the demand of waiting tasks that may start and of tasks that will have to start on another machine,
+    /// of the tiers that `includes_tier` accepts. Earlier tiers use up their teams' quotas first.
+    fn demand(&self, includes_tier: impl Fn(usize) -> bool) -> Demand {
         let mut demand = Demand::default();
         let mut quota_left = BTreeMap::new();
-        let evacuates = self.is_evacuating();
-        let tier = |job: &Job| if evacuates { self.tier_of(job) } else { 0 };
+        let evacuating = self.is_evacuating();
+        let tier = |job: &Job| if evacuating { self.tier_of(job) } else { 0 };
         let mut jobs: Vec<(usize, &Job)> = self.jobs.values().map(|job| (tier(job), job)).collect();
-        if evacuates {
+        if evacuating {
             jobs.sort_by_key(|(tier, _)| *tier);
         }
-        for (_, job) in jobs.into_iter().filter(|(tier, _)| wanted(*tier)) {
+        for (_, job) in jobs.into_iter().filter(|(tier, _)| includes_tier(*tier)) {
             let tasks = self.startable_tasks(job, &mut quota_left);
             if tasks == 0.0 {
                 continue;
@@ -161,13 +168,13 @@
                 None => demand.add(job.spec.spot, need),
             }
         }
-        // What runs on machines that are cut off will want room elsewhere when their leases end.
+        // Tasks on partitioned machines will need other machines when their leases expire.
         for machine in self.machines.values().filter(|m| self.will_lose_tasks(m)) {
             for (name, _) in &machine.places {
                 let job = &self.jobs[name];
-                // What is bound to its zone waits for it.
-                let elsewhere = job.spec.zone.as_ref() != Some(&machine.zone);
-                if elsewhere && wanted(tier(job)) {
+                // A job that is limited to the zone waits for it.
+                let may_move = job.spec.zone.as_ref() != Some(&machine.zone);
+                if may_move && includes_tier(tier(job)) {
                     demand.add(job.spec.spot, Room::of(&job.spec));
                 }
             }
@@ -175,14 +182,14 @@
         demand
     }
 
-    /// Room that is free on machines that are there, boot or were asked for.
+    /// Returns the free resources of machines that run, boot or were requested.
     fn supply(&self, env: &Env) -> Supply {
         let now = env.steady();
         let mut supply = Supply::default();
         for machine in self.machines.values().filter(|m| m.counts()) {
             let boot = env.type_named(&machine.kind).map_or(DEFAULT_BOOT_S, |k| k.boot_s);
             let late = !machine.up && now.duration_since(machine.known).as_secs_f64() > boot * LATE_AFTER_BOOT_TIMES;
-            // One that is known from a record only has room, but how much?
+            // The size of a machine known only from a record is unknown.
             if late || machine.kind.is_empty() {
                 continue;
             }
@@ -191,14 +198,14 @@
         }
         for (rental, _) in &self.renting.open_rentals {
             if let Some(kind) = env.type_named(&rental.kind) {
-                let room = Room { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
-                supply.add(&rental.zone, rental.spot, room.scaled(f64::from(rental.count)));
+                let machine = Room { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
+                supply.add(&rental.zone, rental.spot, machine.scaled(f64::from(rental.count)));
             }
         }
         supply
     }
 
-    /// The only zones where a job's next task may go, if not everywhere.
+    /// Returns the zones where a job's next task may be placed; `None` if all are allowed.
     pub fn allowed_zones(&self, job: &Job) -> Option<Vec<String>> {
         let zones = self.zones_for(job);
         match (&job.spec.zone, zones) {
@@ -210,6 +217,7 @@
     }
 }
 
+/// Returns the part of `need` that `free` does not cover, at least 0 of each resource.
 pub(super) fn shortfall(need: Room, free: Room) -> Room {
     let gap = need.minus(free);
     Room { cpus: gap.cpus.max(0.0), gpus: gap.gpus.max(0.0), memory_gb: gap.memory_gb.max(0.0) }
--- a/crates/core/src/rent/releases.rs
+++ b/crates/core/src/rent/releases.rs
@@ -1,4 +1,4 @@
-//! Machines that are more than enough: chosen, emptied and returned.
+//! Surplus machines: chosen for retirement, drained and released to the cloud.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -20,44 +20,44 @@
 };
 
 impl Term {
-    /// Chooses machines that can be returned soon: with all others, what is in use, what
-    /// waits and what is kept free would fit. `need` counts CPUs.
-    pub(super) fn choose_retiring(&mut self, env: &mut Env, need: f64) {
+    /// Chooses the machines to retire, such that the others have at least `needed_cpus`: the CPUs in use, of
+    /// waiting tasks and kept free.
+    pub(super) fn choose_retiring(&mut self, env: &mut Env, needed_cpus: f64) {
         let now = env.steady();
         let window = env.policy.idle;
-        self.renting.recent_needs.push_back((now, need));
+        self.renting.recent_needs.push_back((now, needed_cpus));
         while self.renting.recent_needs.front().is_some_and(|(t, _)| now.duration_since(*t) > window) {
             self.renting.recent_needs.pop_front();
         }
-        let mut have: f64 = self.machines.values().filter(|m| m.counts()).map(|m| m.total.cpus).sum();
+        let mut kept_cpus: f64 = self.machines.values().filter(|m| m.counts()).map(|m| m.total.cpus).sum();
         let mut candidates: Vec<(bool, bool, f64, Name)> = self
             .machines
             .values()
             .filter(|m| m.up && m.counts())
             .map(|m| (m.hosts_service(), m.spot, self.seconds_until_empty(now, m), m.name.clone()))
             .collect();
-        // Those with replicas last, since these end with their service only; then the dearest
-        // first, and of those the ones that are empty the soonest.
+        // Machines with replicas last, since replicas end only with their service; otherwise ordinary machines
+        // first, which cost more, and of those the ones that will be empty the soonest.
         candidates.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.cmp(&b.1)).then(a.2.total_cmp(&b.2)));
-        // What may not use spot machines must find room on the ordinary ones that stay.
-        let firm_jobs = self.jobs.values().filter(|job| !job.spec.spot);
-        let firm_use: f64 = firm_jobs.map(|job| job.spec.cpus * job.places.len() as f64).sum();
-        let firm_need = firm_use + self.renting.service_reserve(env);
-        let firm = self.machines.values().filter(|m| m.counts() && !m.spot);
-        let mut firm_have: f64 = firm.map(|m| m.total.cpus).sum();
+        // Tasks that may not use spot machines must fit on the ordinary machines that stay.
+        let ordinary_jobs = self.jobs.values().filter(|job| !job.spec.spot);
+        let ordinary_cpus_in_use: f64 = ordinary_jobs.map(|job| job.spec.cpus * job.places.len() as f64).sum();
+        let needed_ordinary_cpus = ordinary_cpus_in_use + self.renting.service_reserve(env);
+        let ordinary_machines = self.machines.values().filter(|m| m.counts() && !m.spot);
+        let mut kept_ordinary_cpus: f64 = ordinary_machines.map(|m| m.total.cpus).sum();
         let mut retiring = BTreeSet::new();
         for (_, spot, _, name) in candidates {
             let cpus = self.machines[&name].total.cpus;
-            if have - cpus < need {
+            if kept_cpus - cpus < needed_cpus {
                 break;
             }
             if !spot {
-                if firm_have - cpus < firm_need {
+                if kept_ordinary_cpus - cpus < needed_ordinary_cpus {
                     continue;
                 }
-                firm_have -= cpus;
+                kept_ordinary_cpus -= cpus;
             }
-            have -= cpus;
+            kept_cpus -= cpus;
             retiring.insert(name);
         }
         for machine in self.machines.values_mut() {
@@ -65,17 +65,17 @@
         }
     }
 
-    /// Whether tasks of the job wait that its team's limit would let run.
+    /// Whether the job has waiting tasks that its team's quota would let start.
     fn has_startable_tasks(&self, job: &Job) -> bool {
         let usage = self.quotas.usage(&job.spec.team);
         job.waiting() > 0 && usage.is_some_and(|u| u.headroom(Room::of(&job.spec)) > 0)
     }
 
-    /// Moves the tasks of a retiring machine that save their progress, and replicas, where that
-    /// empties it: one machine at a time, while nothing waits and the others have the room.
+    /// Empties the retiring machine with the least load by moving its replicas and the tasks that save their
+    /// progress. One machine at a time, while no task waits and if the other machines have the free resources.
     pub(super) fn drain_retiring(&mut self, env: &mut Env) {
         let now = env.steady();
-        // What runs well is not moved because a zone is back.
+        // Running tasks are not moved while a zone is unhealthy or returning.
         if self.any_zone_unhealthy() || self.jobs.values().any(|job| self.has_startable_tasks(job)) {
             return;
         }
@@ -87,29 +87,29 @@
         for machine in self.machines.values().filter(|m| m.usable(now) && !m.retiring && m.claim.is_none()) {
             free.push((machine, self.free_room(machine)));
         }
-        // The fullest first, so that the others can be returned.
+        // The fullest machines first, so that the others can be released.
         free.sort_by(|a, b| a.1.cpus.total_cmp(&b.1.cpus));
         let mut best: Option<(f64, Vec<(TaskKey, Name)>)> = None;
         for machine in self.machines.values().filter(|m| m.retiring && !m.places.is_empty()) {
             let used = machine.used.cpus;
             let replicas = f64::from(machine.replicas());
-            if replicas > self.renting.move_budget || best.as_ref().is_some_and(|(least, _)| used >= *least) {
+            if replicas > self.renting.move_budget || best.as_ref().is_some_and(|(least_used, _)| used >= *least_used) {
                 continue;
             }
-            let Some(moved) = self.tasks_to_move(now, machine) else { continue };
-            let count = moved.len();
-            let mut room = free.clone();
+            let Some(tasks) = self.tasks_to_move(now, machine) else { continue };
+            let count = tasks.len();
+            let mut free_left = free.clone();
             let mut targets: BTreeSet<&Name> = BTreeSet::new();
             let mut plan = Vec::new();
-            for key in moved {
+            for key in tasks {
                 let job = &self.jobs[&key.0];
                 let need = Room::of(&job.spec);
-                let target = room.iter_mut().find(|(m, r)| {
-                    let apart = job.spec.kind == Kind::Array || can_take_replica(m, machine, job, &targets);
-                    r.holds(need) && apart && m.images.holds(&job.spec.image)
+                let target = free_left.iter_mut().find(|(m, free)| {
+                    let may_take = job.spec.kind == Kind::Array || can_take_replica(m, machine, job, &targets);
+                    free.holds(need) && may_take && m.images.holds(&job.spec.image)
                 });
-                let Some((target, room)) = target else { break };
-                room.sub(need);
+                let Some((target, free)) = target else { break };
+                free.sub(need);
                 if job.spec.kind == Kind::Service {
                     targets.insert(&target.name);
                 }
@@ -119,10 +119,10 @@
                 best = Some((used, plan));
             }
         }
-        let Some((_, moved)) = best else { return };
-        let place = &self.jobs[&moved[0].0.0].places[&moved[0].0.1];
-        tracing::info!(machine = &*place.machine, tasks = moved.len(), "moving its tasks, to return it");
-        for ((job, task), target) in moved {
+        let Some((_, moves)) = best else { return };
+        let place = &self.jobs[&moves[0].0.0].places[&moves[0].0.1];
+        tracing::info!(machine = &*place.machine, tasks = moves.len(), "moving the tasks of a machine to release it");
+        for ((job, task), target) in moves {
             let spec = self.jobs[&job].spec.clone();
             if spec.kind == Kind::Service {
                 self.renting.move_budget -= 1.0;
@@ -134,57 +134,59 @@
         }
     }
 
-    /// The tasks to move for a machine to become empty; `None` if it would not, or if
-    /// nothing needs a move.
+    /// Returns the tasks whose move makes a machine empty soon; `None` if moves would not do so, or if none is
+    /// needed.
     fn tasks_to_move(&self, now: Instant, machine: &Machine) -> Option<Vec<TaskKey>> {
-        let mut moved = Vec::new();
+        let mut tasks = Vec::new();
         for (name, task) in &machine.places {
             let job = &self.jobs[name];
             let place = &job.places[task];
-            let ran = now.duration_since(place.running?).as_secs_f64();
-            let left = job.mean_run_s - ran;
+            let ran_s = now.duration_since(place.running?).as_secs_f64();
+            let remaining_s = job.mean_run_s - ran_s;
             if place.stop.is_some() {
                 continue;
             }
-            // One that saves but ends soon is quicker left alone.
-            let saves = job.spec.checkpoint_interval_s > 0.0 && left > MIN_RUN_BEFORE_MOVE_S;
-            let moves = job.spec.kind == Kind::Service || saves;
-            if moves && ran > MIN_RUN_BEFORE_MOVE_S {
-                moved.push((name.clone(), *task));
-            } else if job.spec.kind == Kind::Service || left > MIN_RUN_BEFORE_MOVE_S / 2.0 {
+            // A task that saves its progress but ends soon is left to end: that takes less time.
+            let saves = job.spec.checkpoint_interval_s > 0.0 && remaining_s > MIN_RUN_BEFORE_MOVE_S;
+            let movable = job.spec.kind == Kind::Service || saves;
+            if movable && ran_s > MIN_RUN_BEFORE_MOVE_S {
+                tasks.push((name.clone(), *task));
+            } else if job.spec.kind == Kind::Service || remaining_s > MIN_RUN_BEFORE_MOVE_S / 2.0 {
                 return None;
             }
         }
-        (!moved.is_empty()).then_some(moved)
+        (!tasks.is_empty()).then_some(tasks)
     }
 
-    /// Seconds until a machine's tasks are expected to have ended.
+    /// Returns the expected time until a machine's tasks have ended, in seconds.
     fn seconds_until_empty(&self, now: Instant, machine: &Machine) -> f64 {
         if machine.hosts_service() {
             return SERVICE_EMPTY_TIME_S + machine.used.cpus;
         }
-        let left = machine.places.iter().filter_map(|(name, task)| {
+        let remaining_s = machine.places.iter().filter_map(|(name, task)| {
             let job = self.jobs.get(name)?;
-            let ran = job.places.get(task)?.running.map_or(0.0, |t| now.duration_since(t).as_secs_f64());
-            Some((job.mean_run_s - ran).max(1.0))
+            let ran_s = job.places.get(task)?.running.map_or(0.0, |t| now.duration_since(t).as_secs_f64());
+            Some((job.mean_run_s - ran_s).max(1.0))
         });
-        left.fold(0.0, f64::max)
+        remaining_s.fold(0.0, f64::max)
     }
 
+    /// Queues the release of retiring machines that are idle, of machines that failed or never came up, and of
+    /// quarantined ones without tasks.
     pub(super) fn release_idle(&mut self, env: &mut Env, now: Instant) {
-        let mut lost = Vec::new();
+        let mut to_release = Vec::new();
         for machine in self.machines.values() {
-            let boot = env.type_named(&machine.kind).map_or(60.0, |k| k.boot_s.max(1.0));
-            let age = now.duration_since(machine.known).as_secs_f64();
+            let boot_s = env.type_named(&machine.kind).map_or(60.0, |k| k.boot_s.max(1.0));
+            let age_s = now.duration_since(machine.known).as_secs_f64();
             if machine.leaving {
                 if machine.release_sent.is_none() {
-                    lost.push(machine.name.clone());
+                    to_release.push(machine.name.clone());
                 }
-            } else if !machine.up && !machine.kind.is_empty() && age > boot * LOST_AFTER_BOOT_TIMES {
-                tracing::info!(machine = &*machine.name, age_s = age, "never came up; given up");
-                lost.push(machine.name.clone());
+            } else if !machine.up && !machine.kind.is_empty() && age_s > boot_s * LOST_AFTER_BOOT_TIMES {
+                tracing::info!(machine = &*machine.name, age_s, "the machine never came up; releasing it");
+                to_release.push(machine.name.clone());
             } else if machine.quarantined && machine.places.is_empty() {
-                lost.push(machine.name.clone());
+                to_release.push(machine.name.clone());
             }
         }
         let waiting: Vec<(&Job, Option<Vec<String>>)> = self
@@ -193,7 +195,7 @@
             .filter(|job| self.has_startable_tasks(job))
             .map(|job| (job, self.allowed_zones(job)))
             .collect();
-        let wanted = |machine: &Machine| {
+        let is_wanted = |machine: &Machine| {
             waiting.iter().any(|(job, zones)| {
                 allowed(&job.spec, machine) && zones.as_ref().is_none_or(|zones| zones.contains(&machine.zone))
             })
@@ -201,29 +203,30 @@
         let mut idle: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|m| m.up && m.counts() && m.places.is_empty() && !wanted(m))
-            // A move is on its way there.
+            .filter(|m| m.up && m.counts() && m.places.is_empty() && !is_wanted(m))
+            // Not those reserved for a task that moves there.
             .filter(|m| m.total.minus(self.free_room(m)).is_nothing())
             .filter(|m| m.retiring && now.duration_since(m.known) > MIN_CHARGED_TIME)
             .collect();
-        // The dearest first.
+        // Ordinary machines first: they cost more.
         idle.sort_by_key(|m| m.spot);
-        // Capacity takes a boot to come back, so a short lull is no reason to return any.
-        let need = self.renting.recent_needs.iter().map(|(_, n)| *n).fold(0.0, f64::max);
-        let mut have: f64 = self.machines.values().filter(|m| m.counts()).map(|m| m.total.cpus).sum();
+        // The highest need within the window counts: after a short lull new machines would have to boot.
+        let needed_cpus = self.renting.recent_needs.iter().map(|(_, n)| *n).fold(0.0, f64::max);
+        let mut kept_cpus: f64 = self.machines.values().filter(|m| m.counts()).map(|m| m.total.cpus).sum();
         for machine in idle {
-            if have - machine.total.cpus >= need {
-                have -= machine.total.cpus;
-                lost.push(machine.name.clone());
+            if kept_cpus - machine.total.cpus >= needed_cpus {
+                kept_cpus -= machine.total.cpus;
+                to_release.push(machine.name.clone());
             }
         }
-        for name in lost {
+        for name in to_release {
             let machine = self.machines.get_mut(&name).expect("listed");
             machine.leaving = true;
             self.renting.queue_release(name);
         }
     }
 
+    /// Sends the next release request unless one is in flight or failed a moment ago.
     pub(super) fn send_releases(&mut self, env: &mut Env, now: Instant) {
         let renting = &mut self.renting;
         if renting.release_in_flight
@@ -232,7 +235,7 @@
         {
             return;
         }
-        // One that was heard of again stays.
+        // A machine whose worker has reported again is kept.
         renting.to_release.retain(|name| self.machines.get(name).is_none_or(|m| m.leaving));
         let count = renting.to_release.len().min(MAX_MACHINES_PER_RELEASE);
         let names: Vec<Name> = renting.to_release.drain(..count).collect();
@@ -250,7 +253,7 @@
     }
 }
 
-/// Whether a machine can take a replica that is moved: in the same zone, and apart from the service's others.
+/// Whether a machine can take a moved replica: it is in the same zone and has no other replica of the service.
 fn can_take_replica(target: &Machine, from: &Machine, job: &Job, taken: &BTreeSet<&Name>) -> bool {
     let key = |task| (job.id.clone(), task);
     target.zone == from.zone
--- a/crates/core/src/rent/renting.rs
+++ b/crates/core/src/rent/renting.rs
@@ -1,4 +1,4 @@
-//! What a leader holds of its rentals and returns.
+//! State of a leader's rentals and releases.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::time::Instant;
@@ -9,44 +9,56 @@
 use crate::env::Env;
 use crate::jobs::Name;
 
-/// Weight of a new job in the mean size of services.
+/// Weight of a new job in the moving average of service sizes.
 const SERVICE_SIZE_WEIGHT: f64 = 0.2;
 
-/// Type, zone and whether spot.
+/// Machine type, zone and whether spot: the cloud's capacity and prices are per market.
 pub(super) type Market = (String, String, bool);
 
-/// Rentals and returns of a term.
+/// Rentals and releases of a term.
 #[derive(Default)]
 pub(crate) struct RentalState {
+    /// Number of the last rental request of this term.
     pub(super) request_serial: u64,
-    /// Rentals without an answer; repeated under their name until there is one.
+    /// Rental requests without a response, and when they were sent; retried under their name until there is one.
     pub(super) open_rentals: Vec<(Rental, Instant)>,
+    /// Markets without capacity, and when they may be tried again.
     pub(super) no_capacity_until: BTreeMap<Market, Instant>,
+    /// Machines to be released, in order.
     pub(super) to_release: VecDeque<Name>,
+    /// Earliest time of the next release request after a failed one.
     pub(super) release_retry_at: Option<Instant>,
+    /// Whether a release request has no outcome yet.
     pub(super) release_in_flight: bool,
+    /// Machines that have ended, the oldest first.
     pub(super) gone: VecDeque<Name>,
+    /// The same machines, for lookups.
     pub(super) gone_names: HashSet<Name>,
+    /// Whether a listing request has no outcome yet.
     pub(super) listing_in_flight: bool,
+    /// When the last listing was requested; `None` if the next one is due at once.
     pub(super) last_listing: Option<Instant>,
+    /// The last machine of the previous page, if more pages follow.
     pub(super) listing_after: Option<String>,
-    /// A whole list has been read.
+    /// Whether a complete list of the cloud's machines has been read in this term.
     pub fleet_listed: bool,
-    /// CPUs needed in all, over the last while.
+    /// Total CPUs needed, sampled over the idle window.
     pub(super) recent_needs: VecDeque<(Instant, f64)>,
-    /// Replicas that may be moved now.
+    /// Number of replicas that may be moved now.
     pub(super) move_budget: f64,
-    /// Mean CPUs of a production service, learnt from those seen.
+    /// Moving average of the CPUs of a production service.
     pub(super) mean_service_cpus: f64,
-    /// Rentals that may still be sent in this round.
+    /// Rental requests that may still be sent in this second.
     pub(super) rentals_left: usize,
 }
 
 impl RentalState {
+    /// Whether the machine has ended.
     pub fn is_gone(&self, name: &Name) -> bool {
         self.gone_names.contains(name)
     }
 
+    /// Remembers that a machine has ended, and forgets the oldest beyond `keep`.
     pub fn mark_gone(&mut self, name: &Name, keep: usize) {
         if self.gone_names.insert(name.clone()) {
             self.gone.push_back(name.clone());
@@ -58,12 +70,14 @@
         }
     }
 
+    /// Queues a machine for the next release request.
     pub fn queue_release(&mut self, name: Name) {
         if !self.to_release.contains(&name) {
             self.to_release.push_back(name);
         }
     }
 
+    /// Updates the mean size of production services with a submitted job.
     pub fn observe_job(&mut self, spec: &JobSpec) {
         if spec.kind == Kind::Service && spec.priority == Priority::Production {
             let cpus = f64::from(spec.tasks) * spec.cpus;
@@ -72,7 +86,7 @@
         }
     }
 
-    /// CPUs on ordinary machines that stay free for services.
+    /// Returns the CPUs on ordinary machines that are kept free for services.
     pub fn service_reserve(&self, env: &Env) -> f64 {
         self.mean_service_cpus * env.policy.service_reserve
     }
