--- a/crates/core/src/users.rs
+++ b/crates/core/src/users.rs
@@ -1,6 +1,7 @@
-//! Users' requests, on any node. What is told was read from, or written to, the state
-//! service: a submission is answered once it is durable, a state that is not final is
-//! validated there again. Final states are cached, since they never change.
+//! Users' requests, which any node serves.
+//!
+//! Responses reflect the state service: a submission is confirmed once it is durable, and a cached state
+//! that is not final is validated there again. Final states are served from the cache, since they never change.
 
 mod cache;
 mod cancel;
@@ -19,39 +20,42 @@
 use crate::node::Node;
 use cache::CachedJob;
 
-/// Requests that wait for the store; more are turned away.
+/// Largest number of requests that wait for the state service; further ones are rejected.
 const MAX_PENDING_REQUESTS: usize = 512;
-/// Users give up after 2 s on a query and 5 s on all else.
+/// Time limit of a status query; users give up after 2 s.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(1600);
+/// Time limit of a submission or cancellation; users give up after 5 s.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(4000);
 
+/// Returns the response to a request whose call to the state service failed.
 fn store_unresponsive() -> Answer {
-    Answer::later(503, "the state service did not answer")
+    Answer::later(503, "the state service did not respond")
 }
 
 impl Node {
-    /// Takes a request among those that wait, or turns it away at once.
-    fn admit_request(&mut self, request: Req, limit: Duration) -> bool {
+    /// Adds a request to the pending ones, or rejects it at once; returns whether it was added.
+    fn admit_request(&mut self, request: Req, timeout: Duration) -> bool {
         let now = self.env.steady();
         if self.store.down(now) {
-            self.env.answer(request, Answer::later(503, "the state service does not answer"));
+            self.env.answer(request, Answer::later(503, "the state service does not respond"));
             return false;
         }
         if self.users.pending.len() >= MAX_PENDING_REQUESTS {
             self.env.answer(request, Answer::later(429, "too many requests at once"));
             return false;
         }
-        self.users.pending.insert(request, now + limit);
+        self.users.pending.insert(request, now + timeout);
         true
     }
 
-    /// Answers a request unless that was done before.
+    /// Responds to a request unless that was done before.
     fn respond(&mut self, request: Req, answer: Answer) {
         if self.users.pending.remove(&request).is_some() {
             self.env.answer(request, answer);
         }
     }
 
+    /// Handles a query for a job's status.
     pub(crate) fn status(&mut self, request: Req, id: String) {
         if let Some(cached) = self.users.final_state(&id) {
             let answer = self.job_view(&id, &cached);
@@ -63,7 +67,7 @@
         }
     }
 
-    /// What a job's record says; `None` if it cannot be read.
+    /// Caches a job's record and returns it; `None` if it cannot be decoded.
     fn cache_record(&mut self, id: &str, item: Item) -> Option<CachedJob> {
         match serde_json::from_value::<JobRecord>(item.value) {
             Ok(record) => {
@@ -82,6 +86,7 @@
         }
     }
 
+    /// Handles the outcome of a call that a user's request made to the state service.
     pub(crate) fn user_call_outcome(&mut self, call: UserCall, outcome: Outcome<StoreAnswer>) {
         match call {
             UserCall::Compare { jobs } => self.comparison_outcome(jobs, outcome),
@@ -95,14 +100,15 @@
         }
     }
 
-    /// A request that takes too long is answered while its user still listens.
+    /// Responds to requests that take too long while their users still wait, and to all pending ones while the
+    /// state service is down.
     pub(crate) fn expire_user_requests(&mut self) {
         let now = self.env.steady();
         let down = self.store.down(now);
-        let late: Vec<Req> =
+        let expired: Vec<Req> =
             self.users.pending.iter().filter(|(_, until)| down || **until <= now).map(|(req, _)| *req).collect();
-        for req in late {
-            self.respond(req, Answer::later(503, "the state service did not answer in time"));
+        for req in expired {
+            self.respond(req, Answer::later(503, "the state service did not respond in time"));
         }
     }
 }
--- a/crates/core/src/users/cache.rs
+++ b/crates/core/src/users/cache.rs
@@ -1,71 +1,79 @@
-//! What a node remembers of jobs' records, for quick answers.
-//!
-//! Guards memory: the cache is bounded by jobs and by the dependencies that they name.
+//! A node's cache of job records, for quick responses. The number of jobs and of dependencies in it is bounded.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
 use crate::jobs::RecordState;
 
-/// A job's record as it was last seen.
+/// A job's record as it was last read or written.
 #[derive(Clone, Debug)]
 pub(super) struct CachedJob {
+    /// Its state.
     pub state: RecordState,
+    /// Number of its tasks.
     pub tasks: u32,
+    /// The version of its record in the state service.
     pub version: u64,
-    /// Jobs that it awaits, while it is open.
+    /// Jobs that it depends on, while it is open.
     pub dependencies: Arc<[String]>,
 }
 
 impl CachedJob {
-    /// A job that is over.
+    /// Returns the entry of a job that has ended.
     pub fn ended(state: RecordState, tasks: u32, version: u64) -> CachedJob {
         CachedJob { state, tasks, version, dependencies: Arc::default() }
     }
 
+    /// Returns the size that counts towards the limit of the cache.
     fn weight(&self) -> usize {
         1 + self.dependencies.len()
     }
 }
 
-/// What a job's open ancestors look like to this node.
+/// The state of a job's ancestors, according to the cache.
 pub(super) enum Ancestors {
-    /// One of them is cancelled, and so the job with them.
+    /// At least one of them is cancelled, and with it the job.
     Cancelled,
-    /// Those that are not known to be over; the ancestors of unknown ones are not among them.
+    /// Ancestors that are not known to have ended. Ancestors of jobs that are not cached are missing.
     Open(Vec<String>),
 }
 
-/// Known records, the oldest forgotten first.
+/// Cached job records; the oldest are evicted first.
 #[derive(Default)]
 pub(super) struct JobCache {
     jobs: HashMap<String, CachedJob>,
+    /// Jobs in the order of their insertion.
     order: VecDeque<String>,
+    /// Total weight of all entries.
     weight: usize,
 }
 
 impl JobCache {
+    /// Returns a job's entry.
     pub fn get(&self, id: &str) -> Option<&CachedJob> {
         self.jobs.get(id)
     }
 
+    /// Whether a job is cached.
     pub fn contains(&self, id: &str) -> bool {
         self.jobs.contains_key(id)
     }
 
-    /// The version to compare in the store: 0 for a job that is not known.
+    /// Returns the version to compare in the state service: 0 for a job that is not cached.
     pub fn version(&self, id: &str) -> u64 {
         self.jobs.get(id).map_or(0, |cached| cached.version)
     }
 
+    /// Whether a job is known to be done.
     pub fn is_done(&self, id: &str) -> bool {
         self.jobs.get(id).is_some_and(|cached| cached.state == RecordState::Done)
     }
 
-    /// Remembers a record unless a newer one is known; `most` bounds jobs and dependencies together.
-    pub fn insert(&mut self, id: &str, cached: CachedJob, most: usize) {
+    /// Caches a record unless a newer one is cached, and evicts old ones beyond `max_weight`, which counts jobs
+    /// and dependencies.
+    pub fn insert(&mut self, id: &str, cached: CachedJob, max_weight: usize) {
         match self.jobs.get_mut(id) {
-            // Final is final, and older answers may arrive late.
+            // Responses of the state service may arrive out of order.
             Some(old) if old.version >= cached.version => return,
             Some(old) => {
                 self.weight = self.weight - old.weight() + cached.weight();
@@ -77,15 +85,15 @@
                 self.order.push_back(id.to_owned());
             }
         }
-        while self.weight > most && self.order.len() > 1 {
+        while self.weight > max_weight && self.order.len() > 1 {
             let Some(oldest) = self.order.pop_front() else { return };
-            if let Some(forgotten) = self.jobs.remove(&oldest) {
-                self.weight -= forgotten.weight();
+            if let Some(evicted) = self.jobs.remove(&oldest) {
+                self.weight -= evicted.weight();
             }
         }
     }
 
-    /// Marks an open job as cancelled with one that it needs.
+    /// Marks an open job as cancelled because one of its ancestors is.
     pub fn cancel_with_ancestor(&mut self, id: &str, version: u64) {
         if let Some(cached) = self.jobs.get_mut(id).filter(|cached| cached.version <= version) {
             self.weight -= cached.dependencies.len();
@@ -93,12 +101,12 @@
         }
     }
 
-    /// The open jobs that a job needs, directly or through others.
+    /// Returns the open jobs that a job depends on, directly or indirectly.
     pub fn ancestors(&self, cached: &CachedJob) -> Ancestors {
         let mut open = Vec::new();
         let mut seen: BTreeSet<&String> = BTreeSet::new();
-        let mut left: Vec<&String> = cached.dependencies.iter().collect();
-        while let Some(id) = left.pop() {
+        let mut unvisited: Vec<&String> = cached.dependencies.iter().collect();
+        while let Some(id) = unvisited.pop() {
             if !seen.insert(id) {
                 continue;
             }
@@ -107,7 +115,7 @@
                 Some(ancestor) if ancestor.state == RecordState::Done => {}
                 Some(ancestor) => {
                     open.push(id.clone());
-                    left.extend(ancestor.dependencies.iter());
+                    unvisited.extend(ancestor.dependencies.iter());
                 }
                 None => open.push(id.clone()),
             }
--- a/crates/core/src/users/cancel.rs
+++ b/crates/core/src/users/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancellations: durable before they are told, whichever node the user asks.
+//! Cancellations by users: any node writes them, and responds once they are durable.
 
 use rushyoke_wire::store::{Item, Txn};
 
@@ -10,6 +10,7 @@
 use crate::node::Node;
 
 impl Node {
+    /// Handles a user's cancellation of a job.
     pub(crate) fn cancel(&mut self, request: Req, id: String) {
         if let Some(cached) = self.users.final_state(&id) {
             let answer = self.job_view(&id, &cached);
@@ -21,20 +22,23 @@
         }
     }
 
+    /// Reads the live record of a job that is to be cancelled.
     fn read_to_cancel(&mut self, request: Req, job: String) {
         let op = StoreOp::Get(live_key(&job));
         self.env.store(Purpose::User(UserCall::CancelRead { request, job }), Urgency::High, op);
     }
 
+    /// Handles the outcome of `read_to_cancel`.
     pub(super) fn cancel_read_outcome(&mut self, request: Req, job: String, outcome: Outcome<StoreAnswer>) {
         match outcome {
             Outcome::Answered(StoreAnswer::Item(Some(item))) => self.write_cancellation(request, job, item),
-            // Not live: over, or never accepted.
+            // The job has ended or was never accepted.
             Outcome::Answered(StoreAnswer::Item(None)) => self.look_up(request, job),
             _ => self.respond(request, store_unresponsive()),
         }
     }
 
+    /// Writes a job's cancellation to both of its records.
     fn write_cancellation(&mut self, request: Req, job: String, item: Item) {
         let Ok(mut live) = serde_json::from_value::<LiveRecord>(item.value) else {
             self.respond(request, Answer::later(503, "the job's record cannot be read"));
@@ -48,13 +52,13 @@
         let tasks = live.spec.tasks;
         let mut value = serde_json::to_value(&live).expect("records always encode");
         if value.to_string().len() > self.env.facts.value_bytes {
-            // Written when values could be larger; where it might have run matters no more.
+            // The record was written under a larger limit on values; a cancelled job needs neither list.
             live.spec.types = None;
             live.spec.dependencies.clear();
             value = serde_json::to_value(live).expect("records always encode");
         }
         let record = JobRecord::over(RecordState::Cancelled, tasks);
-        // Both keys are always written together, so they share their version.
+        // Both keys are always written together, so they have the same version.
         let txn = Txn::default()
             .when(job_key(&job), item.version)
             .when(live_key(&job), item.version)
@@ -64,6 +68,7 @@
         self.env.store(Purpose::User(call), Urgency::High, StoreOp::Txn(txn));
     }
 
+    /// Handles the outcome of `write_cancellation`.
     pub(super) fn cancel_write_outcome(
         &mut self,
         request: Req,
@@ -79,7 +84,7 @@
                 self.respond_with_job(&job, Some(cached), vec![request]);
             }
             Outcome::Answered(StoreAnswer::Refused(_)) => {
-                // It changed in between; look once more while the user waits.
+                // The record has changed since it was read; try again while the user waits.
                 if self.users.pending.contains_key(&request) {
                     self.read_to_cancel(request, job);
                 }
--- a/crates/core/src/users/lookup.rs
+++ b/crates/core/src/users/lookup.rs
@@ -1,9 +1,12 @@
-//! Validated reads: a cached state that is not final is compared in the store before it is told, and
-//! so are all open jobs that it needs, since it is cancelled when one of them is.
+//! Validated reads of job states.
 //!
-//! Guards against older answers. A round answers only requests that came before it was sent: what
-//! another node told since may be newer. An unknown job is reported missing only after a comparison
-//! that found it absent. However many jobs one needs, all are compared before it is called open.
+//! Before a cached state that is not final is returned, its version is compared in the state service, and so
+//! are the versions of all open ancestors, since a job is cancelled when one of them is.
+//!
+//! This prevents stale responses. A round serves only requests that came before its comparisons were sent:
+//! another node may have returned a newer state since. A job that is not cached is reported missing only
+//! after a comparison found its key absent. A job is reported open only after all its open ancestors were
+//! compared, however many there are.
 
 use std::collections::BTreeSet;
 
@@ -18,18 +21,19 @@
 use crate::jobs::*;
 use crate::node::Node;
 
-/// Keys compared by one transaction, where the store takes so many conditions.
+/// Largest number of keys compared by one transaction, if the state service allows as many conditions.
 const MAX_CONDITIONS: usize = 48;
-/// Records of ancestors that are read at a time.
+/// Largest number of ancestors' records that are read at a time.
 const MAX_ANCESTOR_READS: usize = 32;
 
 impl Node {
+    /// Queues the lookup of a job's state for a request.
     pub(super) fn look_up(&mut self, request: Req, job: String) {
         self.users.lookups.push(job, [request]);
         self.begin_round();
     }
 
-    /// Looks a job up again for those of its requests that still wait.
+    /// Queues another lookup of a job for the requests that are still pending.
     fn look_up_again(&mut self, job: String, mut requests: Vec<Req>) {
         requests.retain(|request| self.users.pending.contains_key(request));
         if !requests.is_empty() {
@@ -37,9 +41,10 @@
         }
     }
 
-    /// Sends the comparisons of the next round. Ids that are not known are taken for absent, and read
-    /// only if they are not: a flood of questions for jobs that nobody submitted must not use up the
-    /// calls that others need.
+    /// Sends the comparisons of the next round unless one is under way.
+    ///
+    /// The keys of jobs that are not cached are compared as absent, and read only if that comparison fails: a
+    /// flood of queries for jobs that nobody submitted must not use up the calls that others need.
     pub(super) fn begin_round(&mut self) {
         if self.users.lookups.round.is_some() || self.users.lookups.queue.is_empty() {
             return;
@@ -56,22 +61,25 @@
         self.users.lookups.round = Some(round);
     }
 
+    /// Returns the largest number of conditions in one transaction.
     fn max_conditions(&self) -> usize {
         MAX_CONDITIONS.min(self.env.facts.txn_ops * 4)
     }
 
+    /// Returns a transaction that compares the cached versions of jobs.
     fn comparison(&self, jobs: &[String]) -> Txn {
         let condition = |txn: Txn, job: &String| txn.when(job_key(job), self.users.cache.version(job));
         jobs.iter().fold(Txn::default(), condition)
     }
 
-    /// The jobs of the next round and all keys that they need compared. The first may need more than
-    /// one transaction holds; others join while its transactions have room, as those of a long
-    /// chain do, which share their ancestors.
+    /// Takes the lookups of the next round from the queue, and returns them with the jobs to compare.
+    ///
+    /// The first lookup may need more than one transaction. Others are added while its transactions can take
+    /// their conditions, as for the jobs of a long chain, which have the same ancestors.
     fn next_lookups(&mut self) -> (Vec<Lookup>, BTreeSet<String>) {
-        let at_once = self.max_conditions();
+        let per_transaction = self.max_conditions();
         let (mut lookups, mut compared) = (Vec::new(), BTreeSet::new());
-        let mut most = 0;
+        let mut max_compared = 0;
         while let Some(job) = self.users.lookups.queue.pop_front() {
             let cached = self.users.cache.get(&job).cloned();
             let ancestors = match cached.as_ref().map(|cached| self.users.cache.ancestors(cached)) {
@@ -80,8 +88,8 @@
             };
             let added = ancestors.iter().chain([&job]).filter(|id| !compared.contains(*id)).count();
             if lookups.is_empty() {
-                most = added.next_multiple_of(at_once);
-            } else if compared.len() + added > most {
+                max_compared = added.next_multiple_of(per_transaction);
+            } else if compared.len() + added > max_compared {
                 self.users.lookups.queue.push_front(job);
                 break;
             }
@@ -93,17 +101,17 @@
         (lookups, compared)
     }
 
-    /// A transaction of the round has an outcome.
+    /// Handles the outcome of one of the round's transactions.
     pub(super) fn comparison_outcome(&mut self, jobs: Vec<String>, outcome: Outcome<StoreAnswer>) {
         let Some(round) = &mut self.users.lookups.round else { return };
         round.outstanding -= 1;
         match outcome {
             Outcome::Answered(StoreAnswer::Committed(_)) => round.unchanged.extend(jobs),
-            // It may not name every key that failed; those that it does not name are compared again.
+            // The response may not name every failed key; the jobs that it does not name are compared again.
             Outcome::Answered(StoreAnswer::Refused(failed)) => {
                 round.changed.extend(jobs.into_iter().filter(|job| failed.contains(&job_key(job))));
             }
-            _ => round.unanswered = true,
+            _ => round.call_failed = true,
         }
         if round.outstanding == 0
             && let Some(round) = self.users.lookups.round.take()
@@ -113,8 +121,9 @@
         }
     }
 
+    /// Responds to the requests of a round whose jobs are validated, and continues with the others.
     fn end_round(&mut self, round: LookupRound) {
-        let LookupRound { lookups, unchanged, changed, unanswered, .. } = round;
+        let LookupRound { lookups, unchanged, changed, call_failed, .. } = round;
         let mut refresh = AncestorRefresh::default();
         let mut stale: BTreeSet<String> = BTreeSet::new();
         for Lookup { job, cached, ancestors, requests } in lookups {
@@ -126,7 +135,7 @@
                 refresh.lookups.push((job, requests));
             } else if unchanged.contains(&job) && ancestors.iter().all(|id| unchanged.contains(id)) {
                 self.respond_with_job(&job, cached, requests);
-            } else if unanswered {
+            } else if call_failed {
                 self.fail_requests(requests);
             } else {
                 self.look_up_again(job, requests);
@@ -137,7 +146,7 @@
         }
     }
 
-    /// Reads ancestors again. What is left of many is found changed by the next round.
+    /// Reads stale ancestors again. Those beyond the limit are found changed by the next round.
     fn refresh(&mut self, mut refresh: AncestorRefresh, stale: BTreeSet<String>) {
         self.users.lookups.last_refresh += 1;
         let group = self.users.lookups.last_refresh;
@@ -149,14 +158,15 @@
         self.users.lookups.refreshes.insert(group, refresh);
     }
 
+    /// Handles the outcome of one read of a refresh.
     pub(super) fn refresh_outcome(&mut self, job: &str, group: u64, outcome: Outcome<StoreAnswer>) {
-        let record_read = match outcome {
+        let decoded = match outcome {
             Outcome::Answered(StoreAnswer::Item(Some(item))) => self.cache_record(job, item).is_some(),
             _ => false,
         };
         let Some(refresh) = self.users.lookups.refreshes.get_mut(&group) else { return };
         refresh.outstanding -= 1;
-        refresh.failed |= !record_read;
+        refresh.failed |= !decoded;
         if refresh.outstanding > 0 {
             return;
         }
@@ -171,11 +181,13 @@
         self.begin_round();
     }
 
+    /// Reads a job's record for these requests.
     fn read(&mut self, job: String, requests: Vec<Req>) {
         let op = StoreOp::Get(job_key(&job));
         self.env.store(Purpose::User(UserCall::Read { job, requests }), Urgency::High, op);
     }
 
+    /// Handles the outcome of `read`.
     pub(super) fn read_outcome(&mut self, job: String, requests: Vec<Req>, outcome: Outcome<StoreAnswer>) {
         match outcome {
             Outcome::Answered(StoreAnswer::Item(None)) => self.respond_with_job(&job, None, requests),
@@ -187,7 +199,8 @@
         }
     }
 
-    /// A record was read while the requests waited. What it needs may be cancelled.
+    /// Responds to requests that were pending while the record was read. If the job has dependencies, they are
+    /// validated first, since one of them may be cancelled.
     pub(super) fn record_read(&mut self, job: String, cached: CachedJob, requests: Vec<Req>) {
         if cached.dependencies.is_empty() {
             self.respond_with_job(&job, Some(cached), requests);
@@ -197,11 +210,11 @@
         }
     }
 
-    /// Answers requests that came before the job's state, which was found, was looked up. What
-    /// is known since may be newer.
-    pub(super) fn respond_with_job(&mut self, id: &str, newest_read: Option<CachedJob>, requests: Vec<Req>) {
-        let all = self.users.cache.get(id).cloned().into_iter().chain(newest_read);
-        let newest = all.max_by_key(|cached| (cached.version, cached.state != RecordState::Open));
+    /// Responds to requests that came before `read` was validated or read. The cache may hold a newer state by
+    /// now.
+    pub(super) fn respond_with_job(&mut self, id: &str, read: Option<CachedJob>, requests: Vec<Req>) {
+        let candidates = self.users.cache.get(id).cloned().into_iter().chain(read);
+        let newest = candidates.max_by_key(|cached| (cached.version, cached.state != RecordState::Open));
         let answer = match newest {
             Some(cached) => {
                 let cached = self.users.apply_ancestor_cancellation(id, cached);
@@ -214,13 +227,14 @@
         }
     }
 
+    /// Tells the users of these requests that the state service did not respond.
     pub(super) fn fail_requests(&mut self, requests: Vec<Req>) {
         for request in requests {
             self.respond(request, store_unresponsive());
         }
     }
 
-    /// What a user is told of a job.
+    /// Returns a job's state as a response to a user.
     pub(super) fn job_view(&self, id: &str, cached: &CachedJob) -> Answer {
         let (done, running) = match (cached.state, self.term.as_ref().and_then(|term| term.jobs.get(id))) {
             (RecordState::Done, _) => (cached.tasks, 0),
--- a/crates/core/src/users/lookup_queue.rs
+++ b/crates/core/src/users/lookup_queue.rs
@@ -1,61 +1,71 @@
-//! What a node holds of lookups: those that wait, the round under way, and records that are read again.
+//! State of a node's lookups: the queue, the round under way and the reads of stale ancestors.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use super::cache::CachedJob;
 use crate::io::Req;
 
-/// A job whose cached state is compared, and the requests that wait for it. The state is kept here,
-/// since the cache may lose it meanwhile.
+/// A job whose cached state is being validated, and the requests that wait for it.
 #[derive(Debug)]
 pub(super) struct Lookup {
+    /// The job's id.
     pub(super) job: String,
+    /// Its cached state when the comparison was sent; the cache may evict it meanwhile.
     pub(super) cached: Option<CachedJob>,
-    /// Open jobs that it needs, directly or through others.
+    /// Open jobs that it depends on, directly or indirectly.
     pub(super) ancestors: Vec<String>,
+    /// The requests that wait for it.
     pub(super) requests: Vec<Req>,
 }
 
-/// Lookups whose keys are compared together, in as many transactions as they take.
+/// Lookups that are validated together, in one or more transactions.
 #[derive(Debug, Default)]
 pub(super) struct LookupRound {
+    /// The lookups.
     pub(super) lookups: Vec<Lookup>,
-    /// Transactions that have no outcome yet.
+    /// Number of transactions that have no outcome yet.
     pub(super) outstanding: usize,
-    /// Jobs whose versions were found as they were sent.
+    /// Jobs whose cached versions are current.
     pub(super) unchanged: BTreeSet<String>,
-    /// Jobs whose versions were not.
+    /// Jobs whose cached versions are out of date.
     pub(super) changed: BTreeSet<String>,
-    /// A transaction was not answered.
-    pub(super) unanswered: bool,
+    /// Whether a transaction had no usable response.
+    pub(super) call_failed: bool,
 }
 
-/// Records of ancestors that are read again, and the lookups that wait for them.
+/// Reads of stale ancestors' records, and the lookups that wait for them.
 #[derive(Debug, Default)]
 pub(super) struct AncestorRefresh {
+    /// Number of reads that have no outcome yet.
     pub(super) outstanding: usize,
+    /// Jobs to look up again, with their requests.
     pub(super) lookups: Vec<(String, Vec<Req>)>,
+    /// Whether a read failed.
     pub(super) failed: bool,
 }
 
-/// Lookups of a node.
+/// All lookups of a node.
 #[derive(Default)]
 pub(super) struct LookupQueue {
-    /// Requests by job, for the next round.
+    /// Requests of the queued lookups, by job.
     pub(super) requests: BTreeMap<String, Vec<Req>>,
-    /// The same jobs in the order in which they came.
+    /// The queued jobs, in the order of their first requests.
     pub(super) queue: VecDeque<String>,
+    /// The round under way.
     pub(super) round: Option<LookupRound>,
+    /// Refreshes under way, by number.
     pub(super) refreshes: BTreeMap<u64, AncestorRefresh>,
+    /// Number of the last refresh.
     pub(super) last_refresh: u64,
 }
 
 impl LookupQueue {
+    /// Queues the lookup of a job for these requests.
     pub(super) fn push(&mut self, job: String, requests: impl IntoIterator<Item = Req>) {
-        let waiting = self.requests.entry(job.clone()).or_default();
-        if waiting.is_empty() {
+        let queued = self.requests.entry(job.clone()).or_default();
+        if queued.is_empty() {
             self.queue.push_back(job);
         }
-        waiting.extend(requests);
+        queued.extend(requests);
     }
 }
--- a/crates/core/src/users/state.rs
+++ b/crates/core/src/users/state.rs
@@ -1,4 +1,4 @@
-//! What a node holds of users' requests and of the jobs that they ask about.
+//! State of a node's user requests and of the jobs that they concern.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Instant;
@@ -10,21 +10,23 @@
 use crate::io::Req;
 use crate::jobs::RecordState;
 
-/// A node's side of users' requests.
+/// User requests of a node, and its cache of jobs.
 #[derive(Default)]
 pub(crate) struct UserRequests {
+    /// Cached job records.
     pub(super) cache: JobCache,
+    /// Validated reads.
     pub(super) lookups: LookupQueue,
-    /// Tasks done and running by job, from the leader, for display.
+    /// Numbers of done and of running tasks by job, as the leader sent them, for display.
     pub(super) progress: HashMap<String, (u32, u32)>,
-    /// The leader holds as many unfinished jobs as it can.
+    /// Whether the leader has as many unfinished jobs as it can hold, so that submissions are rejected.
     pub job_limit_reached: bool,
-    /// Requests not yet answered, and when to give up on them.
+    /// Requests without a response, and when they time out.
     pub(super) pending: BTreeMap<Req, Instant>,
 }
 
 impl UserRequests {
-    /// A job that needs a cancelled one is cancelled, whatever its own record still says.
+    /// Returns the job as cancelled if one of its ancestors is, whatever its own record still says.
     pub(super) fn apply_ancestor_cancellation(&mut self, id: &str, cached: CachedJob) -> CachedJob {
         if cached.state != RecordState::Open || !matches!(self.cache.ancestors(&cached), Ancestors::Cancelled) {
             return cached;
@@ -34,19 +36,20 @@
         CachedJob::ended(RecordState::Cancelled, cached.tasks, cached.version)
     }
 
-    /// What is known of a job for good.
+    /// Returns a job's cached state if it is final.
     pub(super) fn final_state(&mut self, id: &str) -> Option<CachedJob> {
         let cached = self.cache.get(id).cloned()?;
         Some(self.apply_ancestor_cancellation(id, cached)).filter(|cached| cached.state != RecordState::Open)
     }
 
-    pub fn update_progress(&mut self, progress: Vec<Progress>, most: usize) {
-        if self.progress.len() > most {
+    /// Stores the progress of jobs for display, and clears older entries beyond `max_jobs`.
+    pub fn update_progress(&mut self, progress: Vec<Progress>, max_jobs: usize) {
+        if self.progress.len() > max_jobs {
             self.progress.clear();
         }
-        for p in progress {
-            if self.cache.get(&p.job).is_none_or(|cached| cached.state == RecordState::Open) {
-                self.progress.insert(p.job, (p.done, p.running));
+        for job_progress in progress {
+            if self.cache.get(&job_progress.job).is_none_or(|cached| cached.state == RecordState::Open) {
+                self.progress.insert(job_progress.job, (job_progress.done, job_progress.running));
             }
         }
     }
--- a/crates/core/src/users/submit.rs
+++ b/crates/core/src/users/submit.rs
@@ -1,8 +1,8 @@
-//! Submissions: judged, created once, and answered when that is durable.
+//! Submissions: validated, created exactly once, and confirmed when they are durable.
 //!
-//! Guards against refusing an accepted job: a refusal is told only after a look at the job's own
-//! record, whatever is wrong with the repeated submission. A job is created only when all that it
-//! awaits is known to have been accepted.
+//! An accepted job is never rejected when its submission is repeated: before a rejection the job's own record
+//! is read, whatever is wrong with the submission. A job is created only when all its dependencies are known
+//! to have been accepted.
 
 use std::collections::BTreeSet;
 
@@ -18,14 +18,15 @@
 use crate::node::Node;
 use crate::quota::{Room, SLACK};
 
-/// Dependencies looked for by one transaction, where the store takes so many conditions.
+/// Largest number of dependencies checked by one transaction, if the state service allows as many conditions.
 const MAX_DEPENDENCY_CONDITIONS: usize = 48;
-/// Bytes of a transaction. A job is created by one that writes what it awaits twice.
+/// Largest size of a transaction. The one that creates a job writes the list of dependencies twice.
 const MAX_TRANSACTION_BYTES: usize = 60 * 1024;
-/// Bytes that a cancellation may add to a job's description.
+/// Bytes that a cancellation may add to a job's live record.
 const CANCELLATION_EXTRA_BYTES: usize = 16;
 
 impl Node {
+    /// Handles a user's submission of a job.
     pub(crate) fn submit(&mut self, request: Req, spec: JobSpec) {
         if let Some(cached) = self.users.final_state(&spec.id) {
             let answer = self.job_view(&spec.id, &cached);
@@ -51,23 +52,24 @@
         }
     }
 
-    /// Creates a job, or first looks for those of its dependencies that this node does not know.
+    /// Creates a job, or first checks for the records of the dependencies that this node has not cached.
     fn admit(&mut self, admission: Admission) {
         let Admission { request, spec, accepted } = &admission;
-        let most = MAX_DEPENDENCY_CONDITIONS.min(self.env.facts.txn_ops * 4);
+        let max_conditions = MAX_DEPENDENCY_CONDITIONS.min(self.env.facts.txn_ops * 4);
         let unknown = |id: &&String| !self.users.cache.contains(id) && !accepted.contains(*id);
-        let asked: Vec<String> = spec.dependencies.iter().filter(unknown).take(most).cloned().collect();
+        let asked: Vec<String> = spec.dependencies.iter().filter(unknown).take(max_conditions).cloned().collect();
         if asked.is_empty() {
             let request = *request;
             self.create(request, *admission.spec);
             return;
         }
-        // It succeeds if none of them exists, and else names those that do.
+        // The transaction succeeds if none of the records exists, and otherwise names those that do.
         let txn = asked.iter().fold(Txn::default(), |txn, id| txn.when(job_key(id), 0));
         let call = UserCall::Dependencies { admission, asked };
         self.env.store(Purpose::User(call), Urgency::High, StoreOp::Txn(txn));
     }
 
+    /// Handles the outcome of the check for dependencies' records.
     pub(super) fn dependencies_outcome(
         &mut self,
         mut admission: Admission,
@@ -81,10 +83,10 @@
                 self.refuse(request, admission.spec.id, refusal.answer());
             }
             Outcome::Answered(StoreAnswer::Refused(failed)) => {
-                let before = admission.accepted.len();
+                let accepted_before = admission.accepted.len();
                 let exists = |id: &String| failed.contains(&job_key(id));
                 admission.accepted.extend(asked.into_iter().filter(exists));
-                if admission.accepted.len() == before {
+                if admission.accepted.len() == accepted_before {
                     self.respond(request, store_unresponsive());
                 } else if self.users.pending.contains_key(&request) {
                     self.admit(admission);
@@ -94,6 +96,7 @@
         }
     }
 
+    /// Writes a job's records, or rejects the job while the leader takes no more.
     fn create(&mut self, request: Req, spec: JobSpec) {
         let (job, tasks, awaits) = (spec.id.clone(), spec.tasks, spec.dependencies.clone());
         if self.users.job_limit_reached {
@@ -110,6 +113,7 @@
         self.env.store(Purpose::User(call), Urgency::High, StoreOp::Txn(txn));
     }
 
+    /// Handles the outcome of a job's creation.
     pub(super) fn create_outcome(&mut self, creation: Creation, outcome: Outcome<StoreAnswer>) {
         let Creation { request, job, tasks, awaits } = creation;
         match outcome {
@@ -128,12 +132,13 @@
         }
     }
 
-    /// Turns a submission away, unless the store has the job.
+    /// Rejects a submission unless the state service has the job.
     fn refuse(&mut self, request: Req, job: String, answer: Answer) {
         let op = StoreOp::Get(job_key(&job));
         self.env.store(Purpose::User(UserCall::Refuse { request, job, answer }), Urgency::High, op);
     }
 
+    /// Handles the outcome of the read before a rejection.
     pub(super) fn refuse_outcome(&mut self, request: Req, job: String, answer: Answer, outcome: Outcome<StoreAnswer>) {
         let Outcome::Answered(StoreAnswer::Item(item)) = outcome else {
             self.respond(request, store_unresponsive());
@@ -142,13 +147,13 @@
         match item.map(|item| self.cache_record(&job, item)) {
             None => self.respond(request, answer),
             Some(Some(cached)) => self.record_read(job, cached, vec![request]),
-            // It was accepted, whatever its record says.
+            // The record exists, so the job was accepted, but it cannot be decoded.
             Some(None) => self.respond(request, store_unresponsive()),
         }
     }
 }
 
-/// Why a submission is turned away for good.
+/// Reason why a submission is rejected for good.
 #[derive(Clone, Debug, PartialEq)]
 enum Refusal {
     UnknownTeam,
@@ -157,13 +162,14 @@
     OneZoneAndSpread,
     SpreadInOneZone,
     DependsOnItself,
-    /// A job that it awaits.
+    /// The dependency with this id was never accepted.
     UnknownDependency(String),
-    /// Bytes that a description may take.
+    /// The description is larger than this number of bytes.
     TooLarge(usize),
 }
 
 impl Refusal {
+    /// Returns the response to the user.
     fn answer(&self) -> Answer {
         let status = if matches!(self, Refusal::TooLarge(_)) { 400 } else { 422 };
         Answer::error(status, &self.to_string())
@@ -175,27 +181,27 @@
         match self {
             Refusal::UnknownTeam => f.write_str("crew: unknown team"),
             Refusal::FitsNoMachineType => f.write_str("a task fits no allowed machine type"),
-            Refusal::ExceedsQuota => f.write_str("the job needs more than its team's limit"),
+            Refusal::ExceedsQuota => f.write_str("the job needs more than its team's quota"),
             Refusal::OneZoneAndSpread => f.write_str("together and scatter exclude each other"),
             Refusal::SpreadInOneZone => f.write_str("scatter needs more than one zone"),
             Refusal::DependsOnItself => f.write_str("awaits: names the job itself"),
             Refusal::UnknownDependency(id) => write!(f, "awaits: {id} was never accepted"),
-            Refusal::TooLarge(most) => {
-                write!(f, "the description is too large: with all that it awaits it may take {most} bytes")
+            Refusal::TooLarge(max_bytes) => {
+                write!(f, "the description is too large: with its dependencies it may take {max_bytes} bytes")
             }
         }
     }
 }
 
-/// Whether the job can ever run; if not, why.
+/// Checks that the job can run at all, in view of the settings and the machine types.
 fn check_runnable(env: &Env, spec: &JobSpec) -> Result<(), Refusal> {
     let need = Room::of(spec);
     let Some(team) = env.facts.teams.get(&spec.team) else {
         return Err(Refusal::UnknownTeam);
     };
     let fits = env.types.iter().any(|kind| {
-        let room = Room { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
-        room.holds(need)
+        let machine = Room { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
+        machine.holds(need)
             && spec.types.as_ref().is_none_or(|types| types.contains(&kind.name))
             && spec.zone.as_ref().is_none_or(|zone| kind.zones.contains(zone))
     });
@@ -218,11 +224,11 @@
     Ok(())
 }
 
-/// Whether a value of the store, and the transaction, hold the description; the answer depends on nothing but the settings,
-/// so that every node and every repeat gives the same.
+/// Checks that the description fits into a value of the state service and into a transaction. The result depends
+/// on the settings only, so that it is the same on every node and for every repetition.
 fn check_storable(env: &Env, spec: &JobSpec) -> Result<(), Refusal> {
     let live = LiveRecord { at_ms: env.now.wall_ms, cancelled: false, spec: spec.clone() };
     let size = serde_json::to_vec(&live).expect("records always encode").len();
-    let most = env.facts.value_bytes.min(MAX_TRANSACTION_BYTES / 2).saturating_sub(CANCELLATION_EXTRA_BYTES);
-    if size > most { Err(Refusal::TooLarge(most)) } else { Ok(()) }
+    let max_bytes = env.facts.value_bytes.min(MAX_TRANSACTION_BYTES / 2).saturating_sub(CANCELLATION_EXTRA_BYTES);
+    if size > max_bytes { Err(Refusal::TooLarge(max_bytes)) } else { Ok(()) }
 }
