--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -1,10 +1,12 @@
-//! Jobs that await others, as the leader sees them. The durable truth is the end of the job that is
-//! awaited, `job/<id>`, which is written once: a dependent goes on when that says done, and is
-//! over when it says cancelled. What stands here is derived from it, and derived again by a new leader.
+//! Dependencies between jobs, as the leader tracks them.
 //!
-//! Guards against a task that starts before all that its job awaits is durably done, and against
-//! a job that is left waiting for one that was cancelled. Only accepted jobs can be named, so
-//! there are no cycles; chains may be long, so nothing here recurs.
+//! The durable state is the final record of a dependency, `job/<id>`, which is written once: a dependent may
+//! start when the record says done, and is cancelled when it says cancelled. The tables here are derived from
+//! these records, and a new leader derives them again.
+//!
+//! No task starts before all dependencies of its job are durably done, and no job is left waiting for a
+//! cancelled one. A submission can name only accepted jobs, so there are no cycles. Chains may be long, so
+//! nothing here is recursive.
 
 pub(crate) mod state;
 
@@ -19,62 +21,64 @@
 use crate::jobs::*;
 use crate::term::Term;
 
-/// Records of awaited jobs that are read at a time.
+/// Largest number of dependencies' records that are read at a time.
 const MAX_READS: usize = 8;
+/// Delay before the record of a dependency is read again.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// The more urgent of two deadlines.
+/// Returns the earlier of two deadlines, if there is any.
 fn earlier_deadline(one: Option<u64>, other: Option<u64>) -> Option<u64> {
     one.into_iter().chain(other).min()
 }
 
 impl Term {
-    /// Takes note of what a job awaits. One that has begun has nothing to wait for.
+    /// Registers a job's dependencies. A job with placed or done tasks has nothing to wait for.
     pub fn link_dependencies(&mut self, env: &mut Env, name: &Name) {
         let Some(job) = self.jobs.get_mut(name) else { return };
-        let begun = !job.places.is_empty() || job.done_count > 0;
-        if job.cancelled || begun || job.spec.dependencies.is_empty() {
+        let has_started = !job.places.is_empty() || job.done_count > 0;
+        if job.cancelled || has_started || job.spec.dependencies.is_empty() {
             return;
         }
         job.from_ms = env.now.wall_ms;
         let dependencies: BTreeSet<Name> = job.spec.dependencies.iter().map(|id| Name::from(id.as_str())).collect();
         job.pending = dependencies.clone();
         let (priority, due_ms) = (job.priority, job.due_ms);
-        let mut lost = false;
+        let mut has_cancelled_dependency = false;
         for dependency in &dependencies {
             self.awaited.dependents.entry(dependency.clone()).or_default().insert(name.clone());
             match self.jobs.get(dependency) {
-                Some(dependency) => lost |= dependency.cancelled,
+                Some(dependency) => has_cancelled_dependency |= dependency.cancelled,
                 None => {
                     self.awaited.unread.insert(dependency.clone());
                 }
             }
         }
         self.raise_priorities(dependencies, priority, due_ms);
-        if lost {
+        if has_cancelled_dependency {
             self.orphan(env, vec![name.clone()]);
         }
     }
 
-    /// Jobs take the highest priority and the most urgent deadline of those that need them.
+    /// Raises the priorities and advances the deadlines of dependencies, direct and indirect, to those of a
+    /// dependent.
     fn raise_priorities(&mut self, dependencies: BTreeSet<Name>, priority: Priority, due_ms: Option<u64>) {
-        let mut left: Vec<Name> = dependencies.into_iter().collect();
-        while let Some(name) = left.pop() {
+        let mut unvisited: Vec<Name> = dependencies.into_iter().collect();
+        while let Some(name) = unvisited.pop() {
             let Some(job) = self.jobs.get_mut(&name) else { continue };
-            let sooner = earlier_deadline(job.due_ms, due_ms) != job.due_ms;
-            if job.priority >= priority && !sooner {
+            let has_later_deadline = earlier_deadline(job.due_ms, due_ms) != job.due_ms;
+            if job.priority >= priority && !has_later_deadline {
                 continue;
             }
             job.priority = job.priority.max(priority);
             job.due_ms = earlier_deadline(job.due_ms, due_ms);
-            left.extend(job.pending.iter().cloned());
+            unvisited.extend(job.pending.iter().cloned());
         }
     }
 
-    /// Takes back what cancelled jobs gave to those that they needed.
+    /// Computes the priorities and deadlines of dependencies anew after dependents were cancelled.
     fn recompute_priorities(&mut self, dependencies: BTreeSet<Name>) {
-        let mut left: Vec<Name> = dependencies.into_iter().collect();
-        while let Some(name) = left.pop() {
+        let mut unvisited: Vec<Name> = dependencies.into_iter().collect();
+        while let Some(name) = unvisited.pop() {
             let Some(job) = self.jobs.get(&name).filter(|job| !job.cancelled) else { continue };
             let (mut priority, mut due_ms) = (job.spec.priority, job.own_due_ms());
             let dependents = self.awaited.dependents.get(&name).into_iter().flatten();
@@ -85,14 +89,14 @@
             if (priority, due_ms) == (job.priority, job.due_ms) {
                 continue;
             }
-            left.extend(job.pending.iter().cloned());
+            unvisited.extend(job.pending.iter().cloned());
             if let Some(job) = self.jobs.get_mut(&name) {
                 (job.priority, job.due_ms) = (priority, due_ms);
             }
         }
     }
 
-    /// A job has ended durably: those that await it go on, or end with it.
+    /// Handles the durable end of a job: its dependents may start, or are cancelled with it.
     pub fn dependency_ended(&mut self, env: &mut Env, dependency: &Name, state: RecordState) {
         let Some(dependents) = self.awaited.dependents.remove(dependency) else {
             return;
@@ -105,39 +109,39 @@
             let Some(job) = self.jobs.get_mut(&name) else { continue };
             job.pending.remove(dependency);
             if !job.is_blocked() {
-                tracing::debug!(job = &*name, "all that it awaits is done");
+                tracing::debug!(job = &*name, "all dependencies of the job are done");
                 job.from_ms = env.now.wall_ms;
                 self.place_due = true;
             }
         }
     }
 
-    /// A job that these need was cancelled, and so are they, with all that needs them in turn.
-    fn orphan(&mut self, env: &mut Env, mut left: Vec<Name>) {
-        let mut needed: BTreeSet<Name> = BTreeSet::new();
-        while let Some(name) = left.pop() {
+    /// Cancels jobs of which a dependency was cancelled, and all their dependents.
+    fn orphan(&mut self, env: &mut Env, mut orphans: Vec<Name>) {
+        let mut dependencies: BTreeSet<Name> = BTreeSet::new();
+        while let Some(name) = orphans.pop() {
             let Some(job) = self.jobs.get_mut(&name).filter(|job| !job.cancelled) else {
                 continue;
             };
-            tracing::debug!(job = &*name, "a job that it needs was cancelled");
+            tracing::debug!(job = &*name, "a dependency of the job was cancelled");
             job.orphaned = true;
-            needed.extend(job.pending.iter().cloned());
+            dependencies.extend(job.pending.iter().cloned());
             self.stop_cancelled(env, &name);
-            left.extend(self.awaited.dependents.remove(&name).into_iter().flatten());
+            orphans.extend(self.awaited.dependents.remove(&name).into_iter().flatten());
         }
-        self.recompute_priorities(needed);
+        self.recompute_priorities(dependencies);
     }
 
-    /// A user cancelled a job: nothing of it starts any more, all that is there must go, and so must
-    /// all that needs it.
+    /// Handles a user's cancellation of a job: none of its tasks starts any more, all placed ones are stopped, and
+    /// its dependents are cancelled.
     pub fn job_cancelled(&mut self, env: &mut Env, name: &Name) {
         self.stop_cancelled(env, name);
-        let needed = self.jobs.get(name).map(|job| job.pending.clone()).unwrap_or_default();
-        self.recompute_priorities(needed);
+        let dependencies = self.jobs.get(name).map(|job| job.pending.clone()).unwrap_or_default();
+        self.recompute_priorities(dependencies);
         self.dependency_ended(env, name, RecordState::Cancelled);
     }
 
-    /// A job is forgotten, and awaits nothing any more.
+    /// Removes a job that leaves the tables from the dependents of its dependencies.
     pub fn unlink_dependencies(&mut self, job: &Job) {
         for dependency in &job.spec.dependencies {
             if let Some(dependents) = self.awaited.dependents.get_mut(dependency.as_str()) {
@@ -150,10 +154,10 @@
         }
     }
 
-    /// Reads how awaited jobs ended that are not in the table.
+    /// Reads the final records of dependencies that are not in the table of unfinished jobs.
     pub fn read_dependencies(&mut self, env: &mut Env) {
         let now = env.steady();
-        if self.awaited.unread.is_empty() || self.awaited.retry.is_some_and(|from| from > now) {
+        if self.awaited.unread.is_empty() || self.awaited.retry.is_some_and(|retry_at| retry_at > now) {
             return;
         }
         while self.awaited.reading.len() < MAX_READS {
@@ -165,6 +169,7 @@
         }
     }
 
+    /// Handles the outcome of reading a dependency's record.
     pub fn dependency_read_outcome(&mut self, env: &mut Env, dependency: Name, outcome: Outcome<StoreAnswer>) {
         self.awaited.reading.remove(&dependency);
         if let Outcome::Answered(StoreAnswer::Item(Some(item))) = outcome
@@ -174,7 +179,7 @@
                 self.dependency_ended(env, &dependency, record.state);
                 return;
             }
-            // It is in the table by now, and tells of its end itself.
+            // The job is in the table by now, and its end will be handled there.
             if self.jobs.contains_key(&dependency) {
                 return;
             }
--- a/crates/core/src/dependencies/state.rs
+++ b/crates/core/src/dependencies/state.rs
@@ -1,17 +1,19 @@
-//! What a leader holds of jobs that await others.
+//! State of a leader's tracking of dependencies between jobs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
 use crate::jobs::Name;
 
-/// Awaited jobs of a term.
+/// Dependencies of the unfinished jobs of a term.
 #[derive(Default)]
 pub(crate) struct DependencyState {
-    /// The jobs that await each job.
+    /// The dependents of each dependency.
     pub(super) dependents: BTreeMap<Name, BTreeSet<Name>>,
-    /// Awaited jobs that are not unfinished, as far as is known: how they ended must be read.
+    /// Dependencies that are not among the unfinished jobs: their final records must be read.
     pub(super) unread: BTreeSet<Name>,
+    /// Dependencies whose records are being read.
     pub(super) reading: BTreeSet<Name>,
+    /// Earliest time of the next read after one that found no final record.
     pub(super) retry: Option<Instant>,
 }
--- a/crates/core/src/failover.rs
+++ b/crates/core/src/failover.rs
@@ -1,8 +1,8 @@
-//! Zone failover: feeds the judge of zones with what is seen of the fleet, and carries out what follows.
+//! Zone failover: passes observations of the fleet to the failure detector of zones, and applies the zone states
+//! that it returns.
 //!
-//! Guards a cut zone's work and the others' room: verdicts change the order and the pace of placement,
-//! rentals and returns. A task of a lost zone gets a new place only when its old one is proven empty, by the
-//! same proofs as ever (`fleet`).
+//! Zone states change only the order and the rate of placement, rentals and releases. A task of a lost zone gets
+//! a new placement only once its old one has provably ended, by the same rules as for any other task (`fleet`).
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -17,20 +17,20 @@
 use crate::quota::Room;
 use crate::term::Term;
 
-/// What speaks against a machine in a zone on probation for careful work, in seconds, after a first loss:
-/// less than most images take to fetch. It grows with the square of the zone's flap factor.
+/// Placement penalty of a machine whose zone is on probation, for tiers that avoid such zones, after the zone's
+/// first loss. Less than most images take to fetch; it grows with the square of the zone's flap factor.
 const PROBATION_PENALTY_S: f64 = 4.0;
-/// What one tier counts for in the choice of the tasks that make way, in CPU seconds.
+/// Preemption cost of a difference of one tier, in CPU seconds.
 const TIER_WEIGHT_CPU_S: f64 = 10_000.0;
-/// Bytes of the record of zones that stay unused.
+/// Bytes of a value of the state service that the record of zones leaves unused.
 const RECORD_RESERVE_BYTES: usize = 256;
 
-/// Adds a machine to what is seen of its zone.
+/// Adds a machine to the observations of its zone; `in_time` is whether its reports are on time.
 pub(crate) fn observe_machine(view: &mut ZoneView, machine: &Machine, overdue: bool, in_time: bool) {
     let unreachable = machine.failed_calls() > 0;
-    // Its calls may fail while a controller near it hands its reports on, and our answers back.
-    let deaf = unreachable && !machine.hears_answers();
-    let out = overdue || deaf || machine.is_unreporting();
+    // Direct calls may fail while another controller relays its reports and this leader's responses.
+    let unreachable_without_relay = unreachable && !machine.hears_answers();
+    let out = overdue || unreachable_without_relay || machine.is_unreporting();
     view.machines += 1;
     view.overdue += usize::from(overdue);
     view.unreachable += usize::from(unreachable);
@@ -47,13 +47,13 @@
 }
 
 impl Term {
-    /// Judges the zones by a look at all machines that has just been made.
+    /// Updates the zone states from observations of all machines that were made just now.
     pub fn update_zone_states(&mut self, env: &Env, mut zones: BTreeMap<String, ZoneView>, settling: bool) {
         let now = env.steady();
         for zone in &self.zones {
             zones.entry(zone.clone()).or_default();
         }
-        // Machines of earlier records whose zone is not known yet.
+        // Machines known only from records, whose zone is not known yet.
         zones.remove("");
         let Some(failover) = &mut self.failover else { return };
         let fleet = FleetView {
@@ -67,7 +67,7 @@
         };
         let observation = failover.observe(now, &fleet);
         if observation.minority && !self.in_minority {
-            tracing::info!("most machines and all other controllers are out of reach: likely this node is cut off");
+            tracing::info!("most machines and all other controllers are unreachable: this node is likely partitioned");
         }
         self.in_minority = observation.minority;
         self.place_due |= !observation.transitions.is_empty();
@@ -80,25 +80,26 @@
         self.apply_zone_states(now);
     }
 
-    /// Tells the machines what was found of their zones.
+    /// Copies the zone states to the machines.
     fn apply_zone_states(&mut self, now: Instant) {
         let Some(failover) = &mut self.failover else { return };
-        let mut verdicts: BTreeMap<String, (Access, bool)> = BTreeMap::new();
+        let mut zone_states: BTreeMap<String, (Access, bool)> = BTreeMap::new();
         for machine in self.machines.values_mut() {
-            if !verdicts.contains_key(&machine.zone) {
+            if !zone_states.contains_key(&machine.zone) {
                 let unhealthy = failover.state(&machine.zone) != ZoneState::Healthy;
-                verdicts.insert(machine.zone.clone(), (failover.access(now, &machine.zone), unhealthy));
+                zone_states.insert(machine.zone.clone(), (failover.access(now, &machine.zone), unhealthy));
             }
-            let (access, unhealthy) = verdicts[&machine.zone];
+            let (access, unhealthy) = zone_states[&machine.zone];
             machine.access = access;
             machine.zone_unhealthy = unhealthy;
             keep_draining(failover, machine);
         }
     }
 
-    // What follows from the verdicts.
+    // Effects of the zone states.
 
-    /// Whether a zone's machines are out of reach: new ones would be too. The only place that tells.
+    /// Whether a zone's machines are unreachable, as new ones would be. All decisions on reachability of zones use
+    /// this function.
     pub fn zone_is_unreachable(&self, zone: &str) -> bool {
         match &self.failover {
             Some(failover) => matches!(failover.state(zone), ZoneState::Suspect | ZoneState::Lost),
@@ -106,35 +107,37 @@
         }
     }
 
-    /// Whether a zone takes no work at all.
+    /// Whether no task may be placed in a zone: it is lost or held out by the settings.
     pub fn zone_is_closed(&self, zone: &str) -> bool {
         let lost = self.zone_is_lost(zone);
         lost || self.failover.as_ref().is_some_and(|failover| failover.settings().held_out.contains(zone))
     }
 
+    /// Whether a zone is in the state lost.
     fn zone_is_lost(&self, zone: &str) -> bool {
         self.failover.as_ref().is_some_and(|failover| failover.state(zone) == ZoneState::Lost)
     }
 
-    /// Whether any zone is not healthy: no time to tidy up.
+    /// Whether any zone is not healthy: no tasks are moved just to release machines.
     pub fn any_zone_unhealthy(&self) -> bool {
         self.failover.as_ref().is_some_and(|failover| !failover.all_healthy())
     }
 
-    /// Whether placement goes by tiers, since a zone is being evacuated.
+    /// Whether a zone is being evacuated, so that placement goes by tiers.
     pub fn is_evacuating(&self) -> bool {
         self.failover.as_ref().is_some_and(Failover::evacuates)
     }
 
-    /// A job's tier; the lower goes first.
+    /// Returns a job's tier; lower tiers are placed first.
     pub fn tier_of(&self, job: &Job) -> usize {
         let Some(failover) = &self.failover else { return 0 };
         let guaranteed = self.guaranteed.contains(&job.id);
         failover.settings().tier_of(&TierQuery { class: &job.spec.class, priority: job.priority, guaranteed })
     }
 
-    /// What stopping a task of a job counts for beside the work that is lost, in CPU seconds: while a zone is
-    /// evacuated the latest tier makes way first, though tasks of an earlier one have just begun.
+    /// Returns the cost of preempting a task of a job by its tier, in CPU seconds, to be added to the work lost:
+    /// while a zone is evacuated, tasks of the last tier are preempted first, even if tasks of an earlier tier have
+    /// just started.
     pub fn tier_preemption_cost(&self, job: &Job) -> f64 {
         match &self.failover {
             Some(failover) if failover.evacuates() => {
@@ -144,7 +147,8 @@
         }
     }
 
-    /// Whether a job passes over room that is kept for another, since it is of an earlier tier.
+    /// Whether a zone is being evacuated and `job` is of an earlier tier than `other`, so that it may use resources
+    /// reserved for `other`.
     pub fn precedes_in_evacuation(&self, job: &Name, other: &Name) -> bool {
         if !self.is_evacuating() {
             return false;
@@ -153,20 +157,22 @@
         self.tier_of(job) < self.tier_of(other)
     }
 
-    /// Whether all zones where the job's next task may go take no work: it waits in nobody's way.
+    /// Whether all zones where the job's next task may be placed are closed or paused. Such a job does not hold
+    /// back others.
     pub fn is_bound_to_closed_zones(&self, now: Instant, job: &Job) -> bool {
         let Some(failover) = self.failover.as_ref().filter(|failover| !failover.all_open()) else { return false };
         let closed = |zone: &String| matches!(failover.access(now, zone), Access::Closed | Access::Paused);
         self.allowed_zones(job).is_some_and(|zones| zones.iter().all(closed))
     }
 
-    /// Whether a returning zone takes so many CPUs now.
+    /// Whether the machine's zone takes a task of this size now: a returning zone is filled at a limited rate.
     pub fn zone_admits(&self, machine: &Machine, need: Room) -> bool {
         machine.access != Access::Ramped
             || self.failover.as_ref().is_none_or(|failover| failover.admits(&machine.zone, need.cpus))
     }
 
-    /// What speaks against a machine for work that keeps off zones on probation, in seconds.
+    /// Returns the placement penalty, in seconds, of a machine in an unhealthy zone for a job whose tier avoids
+    /// zones on probation; 0 in all other cases.
     pub fn probation_penalty_s(&self, now: Instant, job: &Job, machine: &Machine) -> f64 {
         let Some(failover) = self.failover.as_ref().filter(|_| machine.zone_unhealthy) else { return 0.0 };
         if !failover.settings().is_careful(self.tier_of(job)) {
@@ -176,16 +182,16 @@
         PROBATION_PENALTY_S * factor * factor
     }
 
-    /// Whether what runs on a machine will want room elsewhere when its lease ends.
+    /// Whether the tasks of a machine will probably need another machine when its lease expires.
     pub fn will_lose_tasks(&self, machine: &Machine) -> bool {
-        let cut_off = machine.suspect && self.parted(machine);
+        let partitioned = machine.suspect && self.parted(machine);
         let lost = self.zone_is_lost(&machine.zone) && (machine.suspect || machine.failed_calls() > 0);
-        !machine.leaving && (cut_off || lost)
+        !machine.leaving && (partitioned || lost)
     }
 
-    /// Whether a silent machine is kept with its zone: for a while beyond its lease, since the zone may be back
-    /// before a new machine would have booted, and for a while after the return, since its worker may still
-    /// wait for an answer that was lost.
+    /// Whether an unresponsive machine is kept because of its zone: for some time after its lease has expired, since
+    /// the zone may return before a new machine would have booted, and for some time after the return, since its
+    /// worker may still wait for a response that was lost.
     pub fn is_kept_with_zone(&self, now: Instant, machine: &Machine, lease_end: Instant) -> bool {
         let Some(failover) = &self.failover else { return false };
         let Some(zone) = failover.zone(&machine.zone) else { return false };
@@ -197,19 +203,19 @@
         }
     }
 
-    // Tasks that lose their places.
+    // Tasks that lose their placements.
 
-    /// Whether a task has begun anew because of zones as often as its class allows: then the end of a lease
-    /// is not enough, and it waits for a report of its machine, or for the machine's confirmed end.
+    /// Whether a task has been restarted because of zones as often as its class allows. An expired lease then does
+    /// not suffice to place it again: its machine must report, or the machine's end must be confirmed.
     pub fn needs_confirmed_stop(&self, key: &TaskKey, zone: &str) -> bool {
         let Some(failover) = &self.failover else { return false };
         let Some(job) = self.jobs.get(&key.0).filter(|job| !job.cancelled) else { return false };
-        let before = job.zone_reruns.get(&key.1).copied().unwrap_or(0);
-        failover.state(zone) != ZoneState::Healthy && !failover.may_rerun(&job.spec.class, before)
+        let reruns = job.zone_reruns.get(&key.1).copied().unwrap_or(0);
+        failover.state(zone) != ZoneState::Healthy && !failover.may_rerun(&job.spec.class, reruns)
     }
 
-    /// A task is about to lose its place since its machine's lease or the machine has ended: if its zone is
-    /// not healthy, that counts as begun anew because of the zone.
+    /// Counts a restart because of the zone, if the zone is not healthy, for a task that is about to lose its
+    /// placement because its machine's lease has expired or the machine has ended.
     pub fn note_displaced(&mut self, key: &TaskKey, machine: &Name) {
         let Some(zone) = self.machines.get(machine).map(|machine| machine.zone.clone()) else { return };
         let Some(failover) = self.failover.as_ref().filter(|f| f.state(&zone) != ZoneState::Healthy) else { return };
@@ -227,7 +233,7 @@
         }
     }
 
-    /// A task has a new place.
+    /// Notes a task's new placement for the zone's evacuation and the rate of a returning zone.
     pub fn note_placed_in_zone(&mut self, now: Instant, key: &TaskKey, machine: &Name) {
         let Some(failover) = &mut self.failover else { return };
         failover.task_placed(now, key);
@@ -236,27 +242,29 @@
         }
     }
 
-    /// A task was seen running for the first time.
+    /// Notes that a task was first reported running, for the zone's state.
     pub fn note_running_in_zone(&mut self, machine: &Name) {
         if let (Some(failover), Some(machine)) = (&mut self.failover, self.machines.get(machine)) {
             failover.start_confirmed(&machine.zone);
         }
     }
 
-    // The record.
+    // The record of zones.
 
+    /// Whether the record of zones has unwritten changes.
     pub fn zone_record_is_unwritten(&self) -> bool {
         self.failover.as_ref().is_some_and(Failover::is_unwritten)
     }
 
+    /// Marks the record of zones as unwritten after its write failed.
     pub fn zone_record_not_written(&mut self) {
         if let Some(failover) = &mut self.failover {
             failover.not_written();
         }
     }
 
-    /// Writes what is known of zones. Only beside a write of the last segment, which keeps a late copy of
-    /// this transaction from being applied.
+    /// Adds the record of zones to a transaction if it has changed. Only to one that writes the last segment of
+    /// the log: its condition prevents a late copy of the transaction from being applied.
     pub fn write_zone_record(&mut self, env: &Env, txn: &mut Txn, batch: &mut Batch) {
         let Some(failover) = self.failover.as_mut().filter(|failover| batch.segment && failover.is_unwritten()) else {
             return;
@@ -264,14 +272,14 @@
         if txn.writes.len() >= env.facts.txn_ops {
             return;
         }
-        let room = env.facts.value_bytes.saturating_sub(RECORD_RESERVE_BYTES);
-        let record = failover.record(env.steady(), env.now.wall_ms, room);
+        let max_bytes = env.facts.value_bytes.saturating_sub(RECORD_RESERVE_BYTES);
+        let record = failover.record(env.steady(), env.now.wall_ms, max_bytes);
         let value = serde_json::to_value(record).expect("records always encode");
         *txn = std::mem::take(txn).put(rushyoke_failover::RECORD_KEY, value);
         batch.failover = true;
     }
 
-    /// Takes over what an earlier leader knew of zones.
+    /// Takes over the record of zones of an earlier leader.
     pub fn load_zone_record(&mut self, env: &Env, item: Option<Item>) {
         let (Some(failover), Some(item)) = (&mut self.failover, item) else { return };
         match serde_json::from_value(item.value) {
@@ -281,12 +289,12 @@
     }
 }
 
-/// A machine that was being drained when its zone was suspected is drained until the zone is healthy, also
-/// under the next leader.
+/// Keeps a machine draining until its zone is healthy, also under the next leader, if it was draining when the
+/// zone became suspect.
 fn keep_draining(failover: &mut Failover, machine: &mut Machine) {
     if !machine.zone_unhealthy {
         failover.forget_drain(&machine.name);
-        // Later it may seem to be more than enough only because it is out of reach.
+        // Not once the machine is suspect: it may then be retiring only because it is unreachable.
         if !machine.suspect && machine.failed_calls() == 0 {
             let (retiring, quarantined, straggling) = (machine.retiring, machine.quarantined, machine.straggler);
             machine.drain = Drain { retiring, quarantined, straggling };
@@ -302,16 +310,18 @@
     machine.straggler |= machine.drain.straggling;
 }
 
+/// Logs a change of a zone's state.
 fn log_transition(failover: &Failover, now: Instant, transition: &Transition) {
     let Transition { zone, from, to, evidence, episode, took } = transition;
     let settings = failover.settings();
-    let known = failover.zone(zone);
-    let penalty = known.map_or(0.0, |known| known.penalty(now, settings));
-    let probation_s = known.map_or(0, |known| known.probation(settings).as_secs());
+    let tracked = failover.zone(zone);
+    let penalty = tracked.map_or(0.0, |tracked| tracked.penalty(now, settings));
+    let probation_s = tracked.map_or(0, |tracked| tracked.probation(settings).as_secs());
     let took_ms = took.as_millis() as u64;
     tracing::info!(zone, %from, %to, ?evidence, episode, took_ms, penalty, probation_s, "zone state");
 }
 
+/// Logs the counts of an evacuation, by tier.
 fn log_evacuation(failover: &Failover, evacuation: &Evacuation) {
     for (tier, count) in evacuation.tiers.iter().enumerate().filter(|(_, count)| count.lost > 0) {
         let name = failover.settings().tier_name(tier);
