--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,120 +1,120 @@
-//! The cloud's messages: machine types, renting, returning, listing.
+//! Messages of the cloud: machine types, renting, releasing and listing machines.
 
 use serde::{Deserialize, Serialize};
 
-/// A type of machine.
+/// A machine type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    /// Its name.
+    /// Name of the type.
     pub name: String,
-    /// CPUs of such a machine.
+    /// CPUs of a machine.
     pub cpus: f64,
-    /// GPUs of such a machine.
+    /// GPUs of a machine.
     #[serde(default)]
     pub gpus: f64,
-    /// Its memory.
+    /// Memory of a machine.
     pub memory_gb: f64,
-    /// Room for images that are kept.
+    /// Size of the image cache.
     #[serde(default)]
     pub cache_gb: f64,
-    /// How fast images are fetched.
+    /// Rate at which images are fetched.
     #[serde(default)]
     pub fetch_gb_per_s: f64,
-    /// Price of an hour.
+    /// Price per hour of an ordinary machine.
     #[serde(rename = "hourly")]
     pub price: f64,
-    /// Present price of an hour if the cloud may take it back.
+    /// Current price per hour of a spot machine, which the cloud may reclaim; `None` if there are none.
     #[serde(rename = "market_price", default)]
     pub spot_price: Option<f64>,
-    /// Usual time to boot, in seconds.
+    /// Usual boot time, in seconds.
     #[serde(default)]
     pub boot_s: f64,
-    /// Where there are such machines.
+    /// Zones that offer the type.
     #[serde(rename = "yards")]
     pub zones: Vec<String>,
 }
 
-/// All types of machines.
+/// The cloud's list of machine types.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineTypes {
-    /// The types.
+    /// All machine types.
     #[serde(rename = "rigs")]
     pub types: Vec<MachineType>,
 }
 
-/// Asks for machines.
+/// A request to rent machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Rental {
-    /// Names the request: a repeat rents nothing more.
+    /// Name of the request. It makes the request idempotent: a retry under the same name rents no more machines.
     #[serde(rename = "hire")]
     pub request: String,
-    /// Their type.
+    /// Machine type.
     #[serde(rename = "rig")]
     pub kind: String,
-    /// Their zone.
+    /// Zone of the machines.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether the cloud may take them back.
+    /// Whether spot machines are requested, which the cloud may reclaim.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// How many.
+    /// Number of machines.
     #[serde(rename = "number")]
     pub count: u32,
 }
 
-/// The answer to a rental, and the body of a return.
+/// Response to a rental request, and body of a release request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineNames {
-    /// Machines' names.
+    /// Names of the machines.
     #[serde(rename = "tankers")]
     pub machines: Vec<String>,
 }
 
-/// What the cloud says of a machine.
+/// A machine's state according to the cloud.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// It is not up yet.
+    /// The machine is booting.
     #[serde(rename = "starting")]
     Booting,
-    /// It is up, or died a moment ago.
+    /// The machine is up, or has failed so recently that the cloud does not show it yet.
     Running,
-    /// It stopped by itself.
+    /// The machine has failed.
     Failed,
 }
 
-/// A machine as the cloud lists it.
+/// A machine in the cloud's list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ListedMachine {
-    /// Its name.
+    /// Name of the machine.
     #[serde(rename = "name_id")]
     pub id: String,
-    /// Where its worker takes direct orders.
+    /// Address at which its worker accepts direct calls.
     #[serde(default)]
     pub addr: String,
-    /// Its type.
+    /// Machine type.
     #[serde(rename = "rig")]
     pub kind: String,
-    /// Its zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether the cloud may take it back.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// Whether it is up.
+    /// State of the machine.
     #[serde(rename = "status")]
     pub phase: Phase,
-    /// Seconds since it was rented, when the list was made.
+    /// Seconds between the rental of the machine and the listing.
     #[serde(default)]
     pub age_s: f64,
 }
 
-/// A part of the list of machines.
+/// A page of the cloud's list of machines.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
-    /// Machines in the order of their names.
+    /// Machines, ordered by name.
     #[serde(rename = "tankers")]
     pub machines: Vec<ListedMachine>,
-    /// Whether more follow.
+    /// Whether more machines follow.
     pub more: bool,
 }
--- a/crates/wire/src/job.rs
+++ b/crates/wire/src/job.rs
@@ -1,13 +1,13 @@
-//! Users' messages: submitting, querying and cancelling jobs.
+//! Messages of users: submitting, querying and cancelling jobs.
 
 use std::collections::BTreeSet;
 
 use serde::{Deserialize, Deserializer, Serialize};
 
-/// The most tasks that one job may have.
+/// Largest number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// What a job is.
+/// The kind of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
     /// Independent tasks; each runs to completion.
@@ -18,110 +18,112 @@
     Service,
 }
 
-/// Ordered: a later one may displace an earlier one.
+/// Priority of a job, ordered from low to high. A job may preempt tasks of a lower priority.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// May wait for all else.
+    /// Runs when nothing else needs the resources.
     BestEffort,
-    /// The usual priority.
+    /// The default priority.
     #[serde(rename = "standard")]
     Normal,
-    /// Before the usual one.
+    /// Runs before the default priority.
     High,
-    /// What users of the teams depend on at once.
+    /// Serves users directly; runs before all else.
     Production,
 }
 
 /// A job's description, as users submit it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Its id, such as `wk-000412`.
+    /// Id of the job, such as `wk-000412`.
     #[serde(rename = "name_id")]
     pub id: String,
-    /// The class whose aims apply.
+    /// Job class, which sets the service objectives.
     #[serde(rename = "lane")]
     pub class: String,
-    /// The team whose guarantee and limit apply.
+    /// Team whose quota applies.
     #[serde(rename = "crew")]
     pub team: String,
-    /// Array or service.
+    /// Whether the job is an array or a service.
     #[serde(rename = "shape")]
     pub kind: Kind,
-    /// Its priority.
+    /// Priority of the job.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// How many tasks it has.
+    /// Number of tasks.
     #[serde(rename = "loads")]
     pub tasks: u32,
-    /// CPUs of a task.
+    /// CPUs per task.
     pub cpus: f64,
-    /// GPUs of a task.
+    /// GPUs per task.
     pub gpus: f64,
-    /// Memory of a task.
+    /// Memory per task.
     pub memory_gb: f64,
-    /// Machine types that it may use, if not all.
+    /// Machine types that the job may use; `None` for all.
     #[serde(rename = "rigs", default)]
     pub types: Option<Vec<String>>,
-    /// The only zone that it may use, if there is one.
+    /// Zone to which the job is limited; `None` for all.
     #[serde(rename = "yard", default)]
     pub zone: Option<String>,
-    /// All tasks must be in one zone.
+    /// Whether all tasks must be in one zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
-    /// At most half of the tasks may be in one zone.
+    /// Whether at most half of the tasks may be in one zone.
     #[serde(rename = "scatter")]
     pub spread: bool,
-    /// It may use machines that the cloud may take back.
+    /// Whether the job may use spot machines, which the cloud may reclaim.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// The image that a machine must have.
+    /// Image that a machine needs to run a task.
     #[serde(rename = "kit")]
     pub image: String,
-    /// The size of the image.
+    /// Size of the image.
     #[serde(rename = "size_gb")]
     pub image_gb: f64,
-    /// The owner's estimate of a task's run time.
+    /// The user's estimate of a task's run time.
     #[serde(rename = "haul_s")]
     pub estimate_s: f64,
-    /// How often a running task saves its progress; 0: never.
+    /// Interval at which a running task saves its progress; 0 if it never does.
     #[serde(rename = "tally_s")]
     pub checkpoint_interval_s: f64,
-    /// Time that a task needs to save when it is stopped.
+    /// Time that a task needs to save its progress when it is stopped.
     #[serde(rename = "stow_s")]
     pub save_s: f64,
-    /// When it should be done, from its submission.
+    /// Deadline of the job, relative to its submission.
     #[serde(rename = "due_s", default)]
     pub deadline_s: Option<f64>,
-    /// Jobs that must be done before any task of this one starts, each named once.
+    /// Jobs that must be done before any task of this one starts, without duplicates.
     #[serde(rename = "awaits", default, deserialize_with = "null_as_empty", skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<String>,
 }
 
+/// Deserializes a list of ids, with null as an empty list.
 fn null_as_empty<'de, D: Deserializer<'de>>(value: D) -> Result<Vec<String>, D::Error> {
     Ok(Option::<Vec<String>>::deserialize(value)?.unwrap_or_default())
 }
 
-/// Whether `id` has the form that job ids always have.
+/// Whether `id` is a well-formed job id: `wk-` and 1 to 18 digits.
 pub fn is_job_id(id: &str) -> bool {
     id.strip_prefix("wk-")
         .is_some_and(|rest| (1..=18).contains(&rest.len()) && rest.bytes().all(|b| b.is_ascii_digit()))
 }
 
 impl JobSpec {
-    /// Parses and checks a submission; the error is one line for the user.
+    /// Parses and validates a submission; the error is one line for the user.
     pub fn parse(body: &[u8]) -> Result<JobSpec, String> {
-        // A sequence would also deserialize into a struct; the protocol wants an object.
+        // Serde would also accept an array for a struct; the protocol requires an object.
         if body.iter().find(|b| !b.is_ascii_whitespace()) != Some(&b'{') {
             return Err("the body is not a JSON object".into());
         }
         let mut spec: JobSpec = serde_json::from_slice(body).map_err(|e| e.to_string())?;
         spec.check()?;
-        let mut named = BTreeSet::new();
-        spec.dependencies.retain(|id| named.insert(id.clone()));
+        let mut seen = BTreeSet::new();
+        spec.dependencies.retain(|id| seen.insert(id.clone()));
         Ok(spec)
     }
 
+    /// Validates the values of all fields.
     fn check(&self) -> Result<(), String> {
         if !is_job_id(&self.id) {
             return Err("name_id: must be wk- and digits".into());
@@ -159,44 +161,44 @@
     }
 }
 
-/// What users are told of a job.
+/// A job's status, as users see it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobStatus {
-    /// No task runs.
+    /// No task of the job runs.
     #[serde(rename = "pending")]
     Queued,
-    /// Tasks run.
+    /// At least one task of the job runs.
     Running,
-    /// All tasks are done.
+    /// All tasks of the job are done.
     Done,
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
 impl JobStatus {
-    /// Final states never change again.
+    /// Whether the status never changes again.
     pub fn is_final(self) -> bool {
         matches!(self, JobStatus::Done | JobStatus::Cancelled)
     }
 }
 
-/// A job as users see it.
+/// The response to a query for a job.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
-    /// Its id.
+    /// Id of the job.
     #[serde(rename = "name_id")]
     pub id: String,
-    /// What it does.
+    /// Status of the job.
     #[serde(rename = "status")]
     pub state: JobStatus,
-    /// Tasks that are done, for display.
+    /// Number of tasks that are done, for display.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Tasks that run, for display.
+    /// Number of tasks that run, for display.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
-    /// Jobs that it waits for.
+    /// Dependencies of the job that are not done.
     #[serde(rename = "awaits", default, skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<String>,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,5 +1,5 @@
-//! The messages of every interface of rushyoke. Rust names follow the project's
-//! vocabulary; the names on the wire are set by serde.
+//! Message types of all interfaces of rushyoke. Where the names on the wire differ from the Rust names, serde
+//! attributes set them.
 
 #![warn(missing_docs)]
 
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,123 +1,125 @@
-//! What controllers tell one another, in postcard. Nothing here decides anything that
-//! the rules depend on but one fact: an answer to a fresh question shows which
-//! incarnation of a controller lives now.
+//! Messages between controllers, encoded with postcard. Postcard writes no names, so the order of fields and
+//! variants must not change.
+//!
+//! Correctness depends on these messages in one way only: a response to a new request shows which incarnation of
+//! a controller is running.
 
 use serde::{Deserialize, Serialize};
 
 use crate::worker::{Cause, TaskState};
 
-/// How far a job has come, for display.
+/// The progress of a job, for display.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
-    /// Its id.
+    /// Id of the job.
     pub job: String,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     pub done: u32,
-    /// Tasks that run.
+    /// Number of tasks that run.
     pub running: u32,
 }
 
-/// What a controller asks of, and tells, another.
+/// A controller's periodic request to another one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerRequest {
-    /// The sender's label.
+    /// Label of the sender.
     pub label: String,
-    /// The asker's token while it leads.
+    /// Fencing token of the sender while it leads.
     pub token: Option<u64>,
-    /// The leader takes no more jobs.
+    /// Whether the leader has as many unfinished jobs as it can hold.
     pub job_limit_reached: bool,
-    /// For display, from the leader only.
+    /// Progress of jobs, from the leader only.
     pub progress: Vec<Progress>,
 }
 
-/// What a controller answers.
+/// A controller's response to a `PeerRequest`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerResponse {
-    /// Its label.
+    /// Label of the responding controller.
     pub label: String,
-    /// Which of its processes answers.
+    /// Identifies the process that responds: a new one after each start.
     pub incarnation: u64,
-    /// Whether the state service answers this node.
+    /// Whether the state service responds to this controller.
     pub store_ok: bool,
-    /// The token with which this incarnation still acts, if any.
+    /// Fencing token with which this incarnation still acts, if any.
     pub token: Option<u64>,
-    /// The token of the leader to which it hands workers' reports, if it does.
+    /// Fencing token of the leader to which this controller relays workers' reports, if it does.
     pub relays_to: Option<u64>,
-    /// How much of its time its processor is busy, in percent.
+    /// Processor utilization in percent.
     pub busy_percent: u8,
 }
 
-/// Workers' reports that a node hands to the leader, to pass its answers back.
+/// Workers' reports that a controller relays to the leader, to pass back the leader's responses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RelayRequest {
-    /// The token of the leader that they are for.
+    /// Fencing token of the leader that the reports are for.
     pub token: u64,
-    /// The reports, in the order of their answers.
+    /// The reports; the responses have the same order.
     pub reports: Vec<RelayedReport>,
 }
 
-/// A worker's report, with its tasks or the digest of a list that was told before.
+/// A worker's report, with its tasks or only the digest of a list that was sent before.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RelayedReport {
-    /// The machine's name.
+    /// Name of the machine.
     pub machine: String,
-    /// The worker's session.
+    /// Session of the worker.
     pub session: u64,
-    /// The report's number.
+    /// Sequence number of the report.
     pub seq: u64,
-    /// The highest token that the worker has seen.
+    /// Highest fencing token that the worker has seen.
     pub token: u64,
-    /// Seconds until the cloud takes the machine back.
+    /// Seconds until the cloud reclaims the machine, if it gave notice.
     pub notice_s: Option<f64>,
-    /// Tells lists of tasks apart.
+    /// Digest of the list of tasks.
     pub digest: u64,
-    /// What the digest stands for, if it must be told.
+    /// The list of tasks and the machine's description, unless the leader has them from an earlier report.
     pub full: Option<FullReport>,
 }
 
-/// A report in full.
+/// The fields of a report that seldom change and are left out while the digest is the same.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FullReport {
-    /// Where the worker takes direct orders.
+    /// Address at which the worker accepts direct calls.
     pub addr: String,
-    /// The machine's type.
+    /// Machine type.
     pub kind: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Whether the cloud may take it back.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     pub spot: bool,
     /// All tasks on the machine.
     pub tasks: Vec<RelayedTask>,
 }
 
-/// A task of a report; in postcard no field may be left out.
+/// A task in a relayed report. Unlike `TaskReport` it skips no field, since postcard does not allow that.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RelayedTask {
-    /// Its job and number.
+    /// Job and number of the task.
     pub task: String,
-    /// Which start of it this is.
+    /// Attempt number.
     pub attempt: u64,
-    /// What it does.
+    /// State of the task.
     pub state: TaskState,
-    /// Why it has ended.
+    /// Why the task has ended.
     pub cause: Option<Cause>,
 }
 
-/// The leader's answers to relayed reports, in their order; `None`: send it in full.
+/// The leader's responses to relayed reports.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RelayResponse {
-    /// One for each report.
+    /// The responses, in the order of the reports; `None` asks for the report in full.
     pub answers: Vec<Option<RelayedResponse>>,
 }
 
-/// What is to be answered to the worker.
+/// The HTTP response that the relaying controller returns to the worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RelayedResponse {
-    /// The HTTP status.
+    /// Status code.
     pub status: u16,
-    /// The body.
+    /// Response body.
     pub body: Vec<u8>,
-    /// When the worker should come back.
+    /// Value of the Retry-After header.
     pub retry_after_s: Option<u32>,
 }
 
@@ -126,7 +128,7 @@
     postcard::to_stdvec(message).expect("peer messages always encode")
 }
 
-/// Decodes a peer message; `None` for anything malformed.
+/// Decodes a peer message; `None` if it is malformed.
 pub fn decode<T: for<'a> Deserialize<'a>>(bytes: &[u8]) -> Option<T> {
     postcard::from_bytes(bytes).ok()
 }
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -1,9 +1,9 @@
-//! The state service's messages.
+//! Messages of the state service.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A key with its value.
+/// A key with its value and version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Item {
     /// The key.
@@ -12,35 +12,35 @@
     /// The value.
     #[serde(rename = "data")]
     pub value: Value,
-    /// The revision of its last change.
+    /// Version of the key: the revision of its last change.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// A part of a list of keys.
+/// A page of a list of keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Page {
-    /// Keys in order.
+    /// Items, ordered by key.
     pub rows: Vec<Item>,
-    /// Whether keys follow.
+    /// Whether more keys follow.
     pub more: bool,
-    /// The revision that it shows.
+    /// Revision at which the page was read.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
 
-/// A key that must have a version for a transaction to be carried out.
+/// A condition of a transaction: the key must have this version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Condition {
     /// The key.
     #[serde(rename = "path")]
     pub key: String,
-    /// 0: the key does not exist.
+    /// Required version; 0 if the key must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
 
-/// A change of a transaction.
+/// A write of a transaction.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Write {
@@ -49,10 +49,10 @@
         /// The key.
         #[serde(rename = "write")]
         key: String,
-        /// Its new value.
+        /// The new value.
         #[serde(rename = "data")]
         value: Value,
-        /// The lease with which it ends.
+        /// The lease whose expiry deletes the key, if any.
         #[serde(rename = "permit", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
@@ -64,31 +64,31 @@
     },
 }
 
-/// A transaction: all its writes, if all its conditions hold, or none.
+/// A transaction: performs all writes if all conditions hold, and none otherwise.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
-    /// What must hold.
+    /// Conditions on the versions of keys.
     #[serde(rename = "when")]
     pub conditions: Vec<Condition>,
-    /// What is then changed.
+    /// Writes that are performed if all conditions hold.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub writes: Vec<Write>,
 }
 
 impl Txn {
-    /// Adds a condition; version 0 stands for a key that does not exist.
+    /// Adds a condition; version 0 requires that the key does not exist.
     pub fn when(mut self, key: impl Into<String>, version: u64) -> Txn {
         self.conditions.push(Condition { key: key.into(), version });
         self
     }
 
-    /// Adds a write of a key that no lease holds.
+    /// Adds a write of a key without a lease.
     pub fn put(mut self, key: impl Into<String>, value: Value) -> Txn {
         self.writes.push(Write::Put { key: key.into(), value, lease: None });
         self
     }
 
-    /// Adds a write of a key that ends with a lease.
+    /// Adds a write of a key that is deleted when the lease expires.
     pub fn put_leased(mut self, key: impl Into<String>, value: Value, lease: u64) -> Txn {
         self.writes.push(Write::Put { key: key.into(), value, lease: Some(lease) });
         self
@@ -101,38 +101,38 @@
     }
 }
 
-/// The answer to a transaction that was carried out.
+/// Response to a transaction that was committed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Committed {
-    /// The version of all that it wrote.
+    /// Version of all keys that it wrote.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
 
-/// The answer to a transaction that was not.
+/// Response to a transaction whose conditions did not all hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Refused {
-    /// Keys whose conditions did not hold.
+    /// Keys whose conditions failed.
     pub failed: Vec<String>,
 }
 
-/// Asks for a lease.
+/// A request for a lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NewLease {
-    /// Its life without renewal, in milliseconds.
+    /// Time after which the lease expires without renewal, in milliseconds.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
 
-/// A lease that was given.
+/// Response with a granted lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Lease {
-    /// Its number.
+    /// Id of the lease.
     #[serde(rename = "permit")]
     pub lease: u64,
 }
 
-/// A change that a watch tells.
+/// A change that a watch reports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Event {
@@ -141,10 +141,10 @@
         /// The key.
         #[serde(rename = "write")]
         key: String,
-        /// Its new value.
+        /// The new value.
         #[serde(rename = "data")]
         value: Value,
-        /// The revision of the change.
+        /// Revision of the change.
         #[serde(rename = "stamp")]
         version: u64,
     },
@@ -153,19 +153,19 @@
         /// The key.
         #[serde(rename = "drop")]
         key: String,
-        /// The revision of the change.
+        /// Revision of the change.
         #[serde(rename = "stamp")]
         version: u64,
     },
 }
 
-/// What a watch tells.
+/// Response to a watch.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Changes {
-    /// The revision up to which it is complete.
+    /// Revision up to which the changes are complete.
     #[serde(rename = "ledger")]
     pub revision: u64,
-    /// The changes, the oldest first.
+    /// Changes, the oldest first.
     #[serde(default)]
     pub events: Vec<Event>,
 }
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,20 +1,20 @@
-//! Workers' messages: reports, their answers and direct orders.
+//! Messages of workers: reports, the responses to them and orders by direct calls.
 
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 
-/// What a task does on its machine.
+/// The state of a task on its machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
-    /// It waits for its image.
+    /// The task waits for its image.
     Fetching,
-    /// It runs.
+    /// The task runs.
     Running,
-    /// It was told to stop and saves its progress.
+    /// The task was ordered to stop and saves its progress.
     #[serde(rename = "flushing")]
     Saving,
-    /// It has ended; the cause says how.
+    /// The task has ended; the cause says why.
     Exited,
 }
 
@@ -22,92 +22,93 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// It completed.
+    /// The task completed.
     Done,
-    /// It was stopped by an order.
+    /// The task was stopped by an order.
     #[serde(rename = "halted")]
     Stopped,
-    /// It failed.
+    /// The task failed.
     Error,
-    /// Its start was refused: the machine has not enough free.
+    /// The start was refused: the machine has too few free resources.
     #[serde(rename = "no_room")]
     InsufficientResources,
-    /// Its start was refused: another attempt of it is on the machine.
+    /// The start was refused: another attempt of the task is on the machine.
     #[serde(rename = "in_use")]
     AttemptConflict,
-    /// Its start was refused: there is no such job or task.
+    /// The start was refused: there is no such job or task.
     #[serde(rename = "unknown")]
     UnknownTask,
 }
 
-/// A task as a report lists it.
+/// A task in a worker's report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskReport {
-    /// Its job and number, such as `wk-000412/3`.
+    /// Job and number of the task, such as `wk-000412/3`.
     #[serde(rename = "load")]
     pub task: String,
-    /// Which start of it this is.
+    /// Attempt number.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// What it does.
+    /// State of the task.
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Why it has ended.
+    /// Why the task has ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<Cause>,
-    /// Whether its progress was saved when it was stopped.
+    /// Whether the task's progress was saved when it was stopped.
     #[serde(rename = "kept", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
-/// A worker's report.
+/// A worker's periodic report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report<T = Vec<TaskReport>> {
-    /// The machine's name.
+    /// Name of the machine.
     #[serde(rename = "tanker")]
     pub machine: String,
-    /// Where it takes direct orders.
+    /// Address at which the worker accepts direct calls.
     pub addr: String,
-    /// Its type.
+    /// Machine type.
     #[serde(rename = "rig")]
     pub kind: String,
-    /// Its zone.
+    /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether the cloud may take it back.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// Counts the leases of the worker that have ended, from 1.
+    /// Session of the worker: starts at 1 and increases each time the worker's lease expires.
     #[serde(rename = "shift")]
     pub session: u64,
-    /// Counts the worker's messages; the larger session and number is the newer.
+    /// Sequence number of the worker's messages. Of two messages the one with the larger session, and then the
+    /// larger sequence number, is newer.
     #[serde(rename = "tick")]
     pub seq: u64,
-    /// The highest token that the worker has seen.
+    /// Highest fencing token that the worker has seen.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// Seconds until the cloud takes the machine back, if it gave notice.
+    /// Seconds until the cloud reclaims the machine, if it gave notice.
     #[serde(rename = "recall_s", default)]
     pub notice_s: Option<f64>,
-    /// All tasks on the machine, ended ones until they are forgotten.
+    /// All tasks on the machine, including ended ones until an order to forget them.
     #[serde(rename = "loads", default)]
     pub tasks: T,
 }
 
-/// A report whose list of tasks is checked to be JSON but not read: most reports of a
-/// large fleet list what the one before did.
+/// A report whose list of tasks is validated as JSON but not parsed: in a large fleet most reports repeat the
+/// list of the report before.
 pub type UnparsedReport = Report<Option<Box<RawValue>>>;
 
 impl UnparsedReport {
-    /// The report without its tasks, and these as they came.
+    /// Returns the report without its tasks, and the unparsed list of tasks.
     pub fn split(self) -> (Report, Option<Box<RawValue>>) {
         let UnparsedReport { machine, addr, kind, zone, spot, session, seq, token, notice_s, tasks } = self;
-        let head = Report { machine, addr, kind, zone, spot, session, seq, token, notice_s, tasks: Vec::new() };
-        (head, tasks)
+        let report = Report { machine, addr, kind, zone, spot, session, seq, token, notice_s, tasks: Vec::new() };
+        (report, tasks)
     }
 }
 
-/// What a worker is told to do.
+/// A command to a worker.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
 pub enum Order {
@@ -117,7 +118,7 @@
         /// The task.
         #[serde(rename = "load")]
         task: String,
-        /// Which start of it.
+        /// Attempt number.
         #[serde(rename = "try")]
         attempt: u64,
     },
@@ -127,27 +128,27 @@
         /// The task.
         #[serde(rename = "load")]
         task: String,
-        /// Which start of it.
+        /// Attempt number.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Seconds that it gets to save.
+        /// Grace period in seconds, for saving the progress.
         #[serde(rename = "wind_down_s")]
         grace_s: f64,
     },
-    /// Removes an ended task from the reports.
+    /// Removes an ended task from the worker's reports.
     #[serde(rename = "clear")]
     Forget {
         /// The task.
         #[serde(rename = "load")]
         task: String,
-        /// Which start of it.
+        /// Attempt number.
         #[serde(rename = "try")]
         attempt: u64,
     },
 }
 
 impl Order {
-    /// The task that it concerns.
+    /// Returns the task that the order concerns.
     pub fn task(&self) -> &str {
         match self {
             Order::Start { task, .. } | Order::Stop { task, .. } | Order::Forget { task, .. } => task,
@@ -155,23 +156,23 @@
     }
 }
 
-/// The answer to a report, and with a session the body of `/orders`.
+/// Response to a report, and, with a session, the body of a direct call to `/orders`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Orders {
-    /// The token of the leader that gives them.
+    /// Fencing token of the leader that gives the orders.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// The session that direct orders are for.
+    /// Session of the worker for which orders by a direct call are meant.
     #[serde(rename = "shift", default, skip_serializing_if = "Option::is_none")]
     pub session: Option<u64>,
-    /// To be carried out in this order.
+    /// Orders, to be carried out in this sequence.
     pub orders: Vec<Order>,
 }
 
-/// The body of a 421: which node to report to, if known.
+/// Body of a 421 response: the controller to report to, if known.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportRedirect {
-    /// The node's label.
+    /// Label of the controller.
     #[serde(rename = "dispatcher", default, skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
 }
--- a/crates/wire/tests/submission.rs
+++ b/crates/wire/tests/submission.rs
@@ -1,4 +1,4 @@
-//! What a submission may say of the jobs that it awaits.
+//! Tests of the list of dependencies in a submission.
 
 use rushyoke_wire::job::JobSpec;
 use serde_json::{Value, json};
@@ -14,30 +14,30 @@
     serde_json::to_vec(&body).expect("it is JSON")
 }
 
-/// What a submission with this list says it awaits, or that it is malformed.
-fn awaits(list: Option<Value>) -> Result<Vec<String>, String> {
+/// Returns the dependencies of a submission with this list, or the error if the list is malformed.
+fn parse_dependencies(list: Option<Value>) -> Result<Vec<String>, String> {
     JobSpec::parse(&submission(list)).map(|spec| spec.dependencies)
 }
 
 #[test]
-fn every_form_of_the_list_has_one_meaning() {
+fn valid_lists_are_parsed_and_malformed_ones_rejected() {
     let ids = |numbers: std::ops::Range<u32>| numbers.map(|n| format!("wk-{n:06}")).collect::<Vec<String>>();
     let well_formed = [
         (None, vec![]),
         (Some(Value::Null), vec![]),
         (Some(json!([])), vec![]),
         (Some(json!(["wk-000398", "wk-000405"])), vec!["wk-000398", "wk-000405"]),
-        // Named twice is named once; whether it may name itself is not a matter of form.
+        // Duplicates are removed. A job that names itself is well formed; it is rejected later.
         (Some(json!(["wk-000405", "wk-000398", "wk-000405"])), vec!["wk-000405", "wk-000398"]),
         (Some(json!(["wk-000412"])), vec!["wk-000412"]),
         (Some(json!(["wk-7", "wk-123456789012345678"])), vec!["wk-7", "wk-123456789012345678"]),
     ];
-    for (list, meaning) in well_formed {
-        assert_eq!(awaits(list.clone()), Ok(meaning.into_iter().map(String::from).collect()), "{list:?}");
+    for (list, expected) in well_formed {
+        assert_eq!(parse_dependencies(list.clone()), Ok(expected.into_iter().map(String::from).collect()), "{list:?}");
     }
-    // There is no limit of its own: what a request and the state service hold is the limit.
+    // The length is limited only by the sizes of a request and of a value of the state service.
     for count in [33, 400, 4000] {
-        assert_eq!(awaits(Some(json!(ids(0..count)))), Ok(ids(0..count)));
+        assert_eq!(parse_dependencies(Some(json!(ids(0..count)))), Ok(ids(0..count)));
     }
     let malformed = [
         json!("wk-000398"),
@@ -63,12 +63,12 @@
         json!(["wk-000398/0"]),
     ];
     for list in malformed {
-        assert!(awaits(Some(list.clone())).is_err(), "{list}");
+        assert!(parse_dependencies(Some(list.clone())).is_err(), "{list}");
     }
 }
 
 #[test]
-fn a_job_that_awaits_none_is_written_as_earlier_versions_write_it() {
+fn jobs_without_dependencies_are_serialized_without_the_field_as_in_earlier_versions() {
     for list in [None, Some(Value::Null), Some(json!([]))] {
         let spec = JobSpec::parse(&submission(list)).expect("well formed");
         assert!(serde_json::to_value(&spec).expect("it is JSON").get("awaits").is_none());
