--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Computes the priorities and deadlines of dependencies anew after dependents were cancelled.
+    /// Recomputes the priorities and deadlines of dependencies after dependents were cancelled.
     fn recompute_priorities(&mut self, dependencies: BTreeSet<Name>) {
         let mut unvisited: Vec<Name> = dependencies.into_iter().collect();
         while let Some(name) = unvisited.pop() {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Cancels jobs of which a dependency was cancelled, and all their dependents.
+    /// Cancels jobs with a cancelled dependency, and all their dependents.
     fn orphan(&mut self, env: &mut Env, mut orphans: Vec<Name>) {
         let mut dependencies: BTreeSet<Name> = BTreeSet::new();
         while let Some(name) = orphans.pop() {
--- a/crates/core/src/rent/releases.rs
+++ b/crates/core/src/rent/releases.rs
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Sends the next release request unless one is in flight or failed a moment ago.
+    /// Sends the next release request unless one is in flight or the retry delay has not passed.
     pub(super) fn send_releases(&mut self, env: &mut Env, now: Instant) {
         let renting = &mut self.renting;
         if renting.release_in_flight
