--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -234,7 +234,8 @@
             .collect();
         // A random sample bounds the work per task. Services get a larger one: they are few, and only the
         // image delays their start.
-        let sample = env.policy.placement_sample * if job.spec.kind == Kind::Service { SERVICE_SAMPLE_FACTOR } else { 1 };
+        let sample =
+            env.policy.placement_sample * if job.spec.kind == Kind::Service { SERVICE_SAMPLE_FACTOR } else { 1 };
         if fitting.len() > sample {
             fitting = fitting.into_iter().sample(&mut env.rng, sample);
         }
--- a/crates/core/src/preempt.rs
+++ b/crates/core/src/preempt.rs
@@ -127,8 +127,12 @@
         let wanted = (job.waiting_tasks() as usize).min(limit).saturating_sub(claimed);
         for (_, machine) in candidates.into_iter().take(wanted) {
             let machine = self.machines.get_mut(&machine).expect("listed");
-            machine.reservation =
-                Some(Reservation { job: name.clone(), resources: need, until: now + RESERVATION_DURATION, by_preemption: false });
+            machine.reservation = Some(Reservation {
+                job: name.clone(),
+                resources: need,
+                until: now + RESERVATION_DURATION,
+                by_preemption: false,
+            });
         }
     }
 
@@ -199,7 +203,8 @@
         let need = Resources::of(&job.spec);
         let zones = self.eligible_zones(job);
         let fits = |machine: &&Machine| {
-            let is_claimed = machine.reservation.as_ref().is_some_and(|claim| claim.job != *name || claim.by_preemption);
+            let is_claimed =
+                machine.reservation.as_ref().is_some_and(|claim| claim.job != *name || claim.by_preemption);
             machine.is_schedulable(now)
                 && machine.in_open_zone()
                 && !is_claimed
