--- a/crates/core/src/users.rs
+++ b/crates/core/src/users.rs
@@ -29,7 +29,7 @@
 
 /// Returns the response to a request whose call to the state service failed.
 fn store_unresponsive() -> HttpResponse {
-    HttpResponse::later(503, "the state service did not respond")
+    HttpResponse::later(503, "the state service did not answer")
 }
 
 impl Node {
@@ -37,7 +37,7 @@
     fn admit_request(&mut self, request: RequestId, timeout: Duration) -> bool {
         let now = self.env.steady();
         if self.store_health.is_down(now) {
-            self.env.respond(request, HttpResponse::later(503, "the state service does not respond"));
+            self.env.respond(request, HttpResponse::later(503, "the state service does not answer"));
             return false;
         }
         if self.users.pending.len() >= MAX_PENDING_REQUESTS {
@@ -115,7 +115,7 @@
             .map(|(request_id, _)| *request_id)
             .collect();
         for request_id in expired {
-            self.respond(request_id, HttpResponse::later(503, "the state service did not respond in time"));
+            self.respond(request_id, HttpResponse::later(503, "the state service did not answer in time"));
         }
     }
 }
--- a/crates/core/src/users/submit.rs
+++ b/crates/core/src/users/submit.rs
@@ -187,13 +187,13 @@
         match self {
             Refusal::UnknownTeam => f.write_str("crew: unknown team"),
             Refusal::FitsNoMachineType => f.write_str("a task fits no allowed machine type"),
-            Refusal::ExceedsQuota => f.write_str("the job needs more than its team's quota"),
+            Refusal::ExceedsQuota => f.write_str("the job needs more than its team's limit"),
             Refusal::OneZoneAndSpread => f.write_str("together and scatter exclude each other"),
             Refusal::SpreadInOneZone => f.write_str("scatter needs more than one zone"),
             Refusal::DependsOnItself => f.write_str("awaits: names the job itself"),
             Refusal::UnknownDependency(id) => write!(f, "awaits: {id} was never accepted"),
             Refusal::TooLarge(max_bytes) => {
-                write!(f, "the description is too large: with its dependencies it may take {max_bytes} bytes")
+                write!(f, "the description is too large: with all that it awaits it may take {max_bytes} bytes")
             }
         }
     }
