--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -1,11 +1,12 @@
-//! Machines: what their workers report, what is ordered, and when a place is proven
-//! empty.
+//! The fleet: what workers report, which orders they are sent, and when a task's placement is
+//! proven to be over.
 //!
-//! Guards against a task on two machines at once. A place counts as empty only after a
-//! newer report from a worker that has seen our token, with the task gone or exited; a
-//! new session; a confirmed return of the machine; or the end of its lease. A start that
-//! went out directly and was not answered may still run late, so the exited entry that
-//! would stop it is kept until the order is resolved.
+//! Keeps a task from running on two machines at once. A placement ends only after one of these:
+//! a newer report, from a worker that has seen this leader's token, in which the task is missing
+//! or has exited; a new session of the worker; the confirmed release of the machine; or the
+//! expiry of the worker's lease. A start that was sent by a direct call without a response may
+//! still run late, so the worker's entry for the exited task, which blocks that start, is kept
+//! until the order is resolved.
 
 pub(crate) mod direct_calls;
 mod images;
@@ -30,52 +31,58 @@
 use crate::term::Term;
 pub(crate) use machine::{Machine, Reservation};
 
-/// Reports come at their interval, give or take a quarter.
+/// Longest time between two reports as a multiple of the report interval, which varies by up to a quarter.
 const LATEST_REPORT_FACTOR: f64 = 1.25;
-/// A report that was answered is followed by the next within its interval and this.
+/// Allowance for transmission and processing, on top of the longest time between two reports.
 const REPORT_DELAY_ALLOWANCE: Duration = Duration::from_secs(1);
-/// Least time between direct calls that ask whether a copy or a worker came.
-const COPY_PROBE: Duration = Duration::from_secs(2);
-/// Share of a lease within which an answered report surely renewed it.
-const RENEWED: f64 = 0.7;
-/// Names of returned machines that are remembered, against late reports.
-const GONE_KEPT: usize = 4000;
-/// And at least so many for each machine that is there, since whole fleets are replaced.
-const GONE_PER_MACHINE: usize = 4;
+/// Least time between probes caused by stale reports. A probe shows whether the report was a
+/// delayed duplicate or the worker has restarted.
+const STALE_REPORT_PROBE_INTERVAL: Duration = Duration::from_secs(2);
+/// A lease that was renewed less than this share of its duration ago cannot have expired.
+const RENEWED_LEASE_SHARE: f64 = 0.7;
+/// Least number of names of removed machines to remember, so that their late reports are recognized.
+const MIN_REMOVED_NAMES_KEPT: usize = 4000;
+/// Least number of those names per present machine, since whole fleets are replaced.
+const REMOVED_NAMES_KEPT_PER_MACHINE: usize = 4;
 
-/// A task's full name and its attempt.
+/// A task's full name (`job/index`) and its attempt.
 type Attempt = (String, u64);
 
-/// A report's tasks, as far as they are known.
+/// The tasks of a report, in the form in which they arrived.
 pub(crate) enum ReportedTasks<'a> {
-    /// As they came from the worker.
+    /// Unparsed JSON from the worker.
     Raw(&'a RawValue),
-    /// In the report, with their digest.
+    /// Already parsed into the report; holds their digest.
     Parsed(u64),
-    /// Those with this digest, which were told before.
+    /// Not included: the tasks sent earlier that have this digest.
     Digest(u64),
 }
 
-/// Most workers find a new leader by themselves, and a report soon after their first shows its
-/// token: only machines with services are shown it directly before this time.
+/// Time after a takeover in which workers are fenced by their reports. Most workers find the new
+/// leader themselves and see its token in the response to their first report. Only machines with
+/// services are shown it by direct calls before this time has passed.
 fn report_fencing_window(report: Duration) -> Duration {
     report.mul_f64(LATEST_REPORT_FACTOR) + REPORT_DELAY_ALLOWANCE
 }
 
-/// Tells lists of tasks apart.
+/// Returns a digest by which lists of tasks are compared.
 pub(crate) fn digest(tasks: &RawValue) -> u64 {
     let mut hasher = DefaultHasher::new();
     tasks.get().hash(&mut hasher);
     hasher.finish()
 }
 
-/// Tells apart the ways in which a report came.
+/// How a worker and the leader exchange a message.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Channel {
+    /// A report from the worker and the response to it.
     Report,
+    /// A direct call to the worker and its response.
     Direct,
 }
+
 impl Term {
+    /// Applies changed machine types to all machines.
     pub fn update_machine_types(&mut self, env: &Env) {
         for machine in self.machines.values_mut() {
             let kind = env.type_named(&machine.kind);
@@ -83,7 +90,7 @@
         }
     }
 
-    /// The machine and everything on it are gone.
+    /// Removes a machine that no longer exists, and ends the placements of its tasks.
     pub fn remove_machine(&mut self, env: &mut Env, name: &Name) {
         let now = env.steady();
         let Some(machine) = self.machines.get(name) else {
@@ -98,11 +105,11 @@
             failover.forget_drain(name);
         }
         self.destination_gone(name);
-        self.renting.gone(name, GONE_KEPT.max(GONE_PER_MACHINE * self.machines.len()));
+        self.renting.gone(name, MIN_REMOVED_NAMES_KEPT.max(REMOVED_NAMES_KEPT_PER_MACHINE * self.machines.len()));
         self.place_due = true;
     }
 
-    /// The cloud's list names this machine.
+    /// Updates the fleet from a machine in the cloud's list.
     pub fn machine_listed(&mut self, env: &mut Env, listed: &Listed) {
         let now = env.steady();
         let name = Name::from(listed.id.as_str());
@@ -111,7 +118,7 @@
         }
         if listed.phase == CloudPhase::Failed {
             if self.machines.contains_key(&name) {
-                tracing::info!(machine = &*name, "failed, says the cloud");
+                tracing::info!(machine = &*name, "the cloud lists it as failed");
                 self.remove_machine(env, &name);
                 self.renting.release_later(name);
             }
@@ -133,7 +140,7 @@
             machine.addr = listed.addr.clone();
         }
         if listed.phase == CloudPhase::Running && !machine.up && !machine.addr.is_empty() {
-            // Its worker may report to another node still: show it the token.
+            // Its worker may still report to another node: call it to show it the token.
             machine.up = true;
             machine.last_heard = now;
             machine.last_reported = now;
--- a/crates/core/src/fleet/direct_calls.rs
+++ b/crates/core/src/fleet/direct_calls.rs
@@ -1,35 +1,37 @@
-//! Direct calls to a machine: the one under way, those that failed, and starts that may still run because of them.
+//! Direct calls to a machine: the one in flight, failed calls, and starts that may still run because a call failed.
 
 use std::time::{Duration, Instant};
 
 use super::{Attempt, Machine};
 
-/// A direct call under way.
+/// A direct call in flight.
 #[derive(Clone, Debug)]
 pub(super) struct DirectCall {
+    /// Session of the worker when the call was sent.
     pub(super) session: u64,
-    /// Session and number of the newest message when it was sent.
+    /// Session and sequence number of the newest message from the worker when the call was sent.
     pub(super) newest_message: (u64, u64),
+    /// Attempts that it starts.
     pub(super) starts: Vec<Attempt>,
     /// Whether it stops any task.
     pub(super) has_stops: bool,
-    /// Tasks of cancelled jobs that it stops.
+    /// Number of tasks of cancelled jobs that it stops.
     pub(super) cancelled_stops: u32,
 }
 
-/// Machines that are to be called, by what for; the first goes first.
+/// Why a machine is to be called; calls are made in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum CallReason {
-    /// It has replicas of services.
+    /// The machine runs replicas of services.
     Service,
-    /// It must stop tasks at once.
+    /// The machine must stop tasks at once.
     Stop,
-    /// All else.
+    /// Any other reason.
     Other,
 }
 
 impl Machine {
-    /// What it would be called for.
+    /// Returns the reason for which the machine would be called now.
     pub(super) fn call_reason(&self) -> CallReason {
         if self.hosts_service() {
             CallReason::Service
@@ -40,25 +42,25 @@
         }
     }
 
-    /// Direct calls in a row that failed.
+    /// Number of consecutive direct calls that failed.
     pub fn failed_calls(&self) -> u32 {
         self.failed_calls
     }
 
-    /// A direct call was not answered; the next one waits, the longer the more have failed.
-    pub(super) fn note_failed_call(&mut self, now: Instant, retry: Duration, most_backoff: u32) {
+    /// Notes a direct call without a response, and delays the next one in proportion to the number of failures.
+    pub(super) fn note_failed_call(&mut self, now: Instant, retry: Duration, max_backoff: u32) {
         self.failed_probes += 1;
         self.failed_calls += 1;
-        self.next_call_at = Some(now + retry * self.failed_calls.min(most_backoff));
+        self.next_call_at = Some(now + retry * self.failed_calls.min(max_backoff));
     }
 
-    /// Whether a start is on its way in a direct order just now.
+    /// Whether the direct call in flight starts this attempt.
     pub(super) fn start_in_flight(&self, attempt: &Attempt) -> bool {
-        self.direct_call.as_ref().is_some_and(|d| d.starts.contains(attempt))
+        self.direct_call.as_ref().is_some_and(|call| call.starts.contains(attempt))
     }
 
-    /// Whether a start that went out directly may still run.
-    pub(super) fn unresolved_starts(&self, attempt: &Attempt) -> bool {
+    /// Whether a start that was sent by a direct call may still run.
+    pub(super) fn may_still_start(&self, attempt: &Attempt) -> bool {
         self.unresolved_starts.contains(attempt) || self.start_in_flight(attempt)
     }
 }
--- a/crates/core/src/fleet/images.rs
+++ b/crates/core/src/fleet/images.rs
@@ -1,4 +1,4 @@
-//! The images that a machine is believed to have.
+//! The container images that a machine is assumed to have in its cache.
 
 use std::collections::VecDeque;
 
@@ -9,8 +9,7 @@
     size_gb: f64,
 }
 
-/// Images believed to be cached, the most recently used last; a machine drops those that were not used for the
-/// longest time.
+/// Images assumed to be cached, the most recently used last. A machine evicts the least recently used.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ImageCache {
     images: VecDeque<Image>,
@@ -18,16 +17,17 @@
 }
 
 impl ImageCache {
-    /// How much the machine's type has room for.
+    /// Sets the cache size of the machine's type.
     pub fn resize(&mut self, room_gb: f64) {
         self.capacity_gb = room_gb;
     }
 
+    /// Whether the image is assumed to be cached.
     pub fn contains(&self, name: &str) -> bool {
         self.images.iter().any(|image| image.name == name)
     }
 
-    /// A task of the machine runs with this image.
+    /// Notes that a task of the machine runs with this image.
     pub fn mark_used(&mut self, name: &str, size_gb: f64) {
         self.images.retain(|image| image.name != name);
         self.images.push_back(Image { name: name.to_owned(), size_gb });
@@ -36,11 +36,12 @@
         }
     }
 
-    /// The worker began anew.
+    /// Forgets all images, after a restart of the worker.
     pub fn clear(&mut self) {
         self.images.clear();
     }
 
+    /// Total size of the cached images.
     fn size_gb(&self) -> f64 {
         self.images.iter().map(|image| image.size_gb).sum()
     }
--- a/crates/core/src/fleet/lease.rs
+++ b/crates/core/src/fleet/lease.rs
@@ -1,32 +1,37 @@
-//! When a worker's lease has surely ended.
+//! When a worker's lease is certain to have expired.
 
 use std::time::{Duration, Instant};
 
 use super::Machine;
 
-/// Allowance for clocks that drift apart, beside the published bound.
-const DRIFT: f64 = 1.002;
-const LAPSE_MARGIN: Duration = Duration::from_millis(250);
+/// Factor that allows for clock drift between nodes and workers, in addition to the published bound.
+const CLOCK_DRIFT_FACTOR: f64 = 1.002;
+/// Safety margin after the computed end of a lease.
+const EXPIRY_MARGIN: Duration = Duration::from_millis(250);
 
-/// What bounds the leases of all workers in a term. Asked here alone when a lease has surely ended, which
-/// proves the places on a machine empty.
+/// Bounds on the leases of all workers in a term. This is the only place that decides when a lease is certain to
+/// have expired, which proves that no task runs on the machine any more.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaseBounds {
-    /// From then on no earlier leader answers any worker.
+    /// Time from which no earlier leader responds to any worker.
     pub(super) previous_leaders_end: Instant,
-    /// When a report was last answered before the tables were filled: it may have been any worker's.
+    /// When this leader last responded to a report before its records were loaded. The report may
+    /// have come from any worker.
     pub(super) last_unrecorded_response: Option<Instant>,
+    /// Duration of a worker's lease.
     pub(super) lease: Duration,
 }
 
 impl LeaseBounds {
-    /// When a worker's lease has surely ended if nothing more is answered.
+    /// Returns when the worker's lease is certain to have expired if there are no further responses.
     pub(super) fn expires_at(&self, machine: &Machine) -> Instant {
-        let base = match (machine.fenced, machine.last_response) {
-            // Once it has seen our token no answer of an earlier leader counts.
-            (Some(fenced), answered) => answered.map_or(fenced, |a| a.max(fenced)),
-            (None, answered) => answered.map_or(self.previous_leaders_end, |a| a.max(self.previous_leaders_end)),
+        let last_renewal = match (machine.fenced, machine.last_response) {
+            // A fenced worker ignores responses of earlier leaders.
+            (Some(fenced), renewed) => renewed.map_or(fenced, |at| at.max(fenced)),
+            (None, renewed) => renewed.map_or(self.previous_leaders_end, |at| at.max(self.previous_leaders_end)),
         };
-        self.last_unrecorded_response.map_or(base, |t| base.max(t)) + self.lease.mul_f64(DRIFT) + LAPSE_MARGIN
+        self.last_unrecorded_response.map_or(last_renewal, |at| last_renewal.max(at))
+            + self.lease.mul_f64(CLOCK_DRIFT_FACTOR)
+            + EXPIRY_MARGIN
     }
 }
--- a/crates/core/src/fleet/liveness.rs
+++ b/crates/core/src/fleet/liveness.rs
@@ -8,7 +8,7 @@
 
 use super::direct_calls::CallReason;
 use super::lease::LeaseBounds;
-use super::survey::{ASKED_ALONE, SURVEY_FROM, SURVEYED};
+use super::survey::{ISOLATED_SAMPLE_SIZE, MIN_FAILING_FOR_SURVEY, SURVEY_SAMPLE_SIZE};
 use super::{LATEST_REPORT_FACTOR, Machine, report_fencing_window};
 use crate::env::Env;
 use crate::failover::note_machine;
@@ -16,16 +16,16 @@
 use crate::term::Term;
 
 /// Direct calls that an overdue machine may miss before it is given up.
-const PROBES: u32 = 2;
+const FAILED_PROBES_BEFORE_RELEASE: u32 = 2;
 /// A machine whose report is overdue gets this long to answer a direct call.
-const PROBE: Duration = Duration::from_millis(1200);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1200);
 /// A report that comes this much after its latest time is overdue.
-const REPORT_SLACK: Duration = Duration::from_millis(300);
+const OVERDUE_MARGIN: Duration = Duration::from_millis(300);
 /// A worker that reports to a node out of reach tries the next one after this time; a new
 /// leader that only its own calls reach waits until all could have found it.
-const SETTLING: Duration = Duration::from_secs(5);
+const NODE_DISCOVERY_TIME: Duration = Duration::from_secs(5);
 /// Names of machines in one line.
-const NAMES_SHOWN: usize = 3;
+const MAX_NAMES_LOGGED: usize = 3;
 
 /// What a look at all machines found.
 #[derive(Default)]
@@ -69,19 +69,19 @@
         for name in std::mem::take(&mut findings.leases_expired) {
             self.handle_expired_lease(env, &name);
         }
-        let alone = now.duration_since(self.visited) > overdue_after(env) + PROBE;
+        let alone = now.duration_since(self.visited) > overdue_threshold(env) + PROBE_TIMEOUT;
         self.assess_own_reachability(env, &mut findings, alone);
         // Most silent at once: more likely the network, or this node, than the machines.
         // Returning them would kill what still runs.
         let many = findings.overdue > 2 && findings.overdue * 2 > findings.up;
         let spared = many || self.survey.most_unreachable || self.survey_pending(now);
         // Without a worker of its own a leader asks some others as soon as one does not answer.
-        let asked = match findings.failing_calls >= SURVEY_FROM {
-            true => SURVEYED,
-            false => usize::from(alone && findings.any_call_failed) * ASKED_ALONE,
+        let asked = match findings.failing_calls >= MIN_FAILING_FOR_SURVEY {
+            true => SURVEY_SAMPLE_SIZE,
+            false => usize::from(alone && findings.any_call_failed) * ISOLATED_SAMPLE_SIZE,
         };
         self.survey(env, asked, findings.overdue_or_unreached, findings.total);
-        let settling = now.duration_since(self.since) < report_fencing_window(env.facts.report) + PROBE * 2;
+        let settling = now.duration_since(self.since) < report_fencing_window(env.facts.report) + PROBE_TIMEOUT * 2;
         self.judge_zones(env, std::mem::take(&mut findings.zones), settling);
         if !spared {
             findings.unresponsive.iter().for_each(|name| self.release_unresponsive(env, name));
@@ -92,12 +92,12 @@
 
     fn collect_findings(&mut self, env: &Env) -> Findings {
         let now = env.steady();
-        let late = overdue_after(env);
+        let late = overdue_threshold(env);
         let give_up = env.facts.report.mul_f64(env.policy.silent_reports);
         let fence_all = now.duration_since(self.since) >= report_fencing_window(env.facts.report);
         let leases = self.lease_bounds(env);
         let judged = self.failover.is_some();
-        let find_after = SETTLING * env.facts.others.len() as u32;
+        let find_after = NODE_DISCOVERY_TIME * env.facts.others.len() as u32;
         let mut findings = Findings::default();
         for machine in self.machines.values_mut().filter(|m| m.up) {
             findings.up += 1;
@@ -108,7 +108,7 @@
             let quiet = now.duration_since(machine.last_heard);
             let unreached = machine.fenced.is_none() && machine.failed_probes > 0;
             findings.overdue += usize::from(quiet > late);
-            findings.unheard += usize::from(quiet > late + PROBE);
+            findings.unheard += usize::from(quiet > late + PROBE_TIMEOUT);
             findings.never_reached += usize::from(unreached);
             findings.failing_calls += usize::from(machine.failed_probes > 0 && !machine.releasing);
             findings.any_call_failed |= machine.failed_calls > 0 && !machine.releasing;
@@ -117,7 +117,7 @@
             }
             // One that never reported here may still look for this node.
             let looking = if machine.last_response.is_some() { Duration::ZERO } else { find_after };
-            if now.duration_since(machine.last_reported) > late + PROBE + looking {
+            if now.duration_since(machine.last_reported) > late + PROBE_TIMEOUT + looking {
                 findings.reports_missing.push(machine.name.clone());
             }
             if machine.direct_call.is_none() && machine.next_call_at.is_none_or(|t| t <= now) {
@@ -135,7 +135,7 @@
             if now > leases.expires_at(machine) && quiet > env.facts.lease && !machine.tasks.is_empty() {
                 findings.leases_expired.push(machine.name.clone());
             }
-            if is_silent(machine, quiet, late, give_up) {
+            if is_unresponsive(machine, quiet, late, give_up) {
                 findings.unresponsive.push(machine.name.clone());
             }
             if judged && machine.release_sent.is_none() {
@@ -150,7 +150,7 @@
     /// their leases end. After a takeover they take a while to find it.
     fn assess_own_reachability(&mut self, env: &Env, findings: &mut Findings, alone: bool) {
         let since = env.steady().duration_since(self.since);
-        let settled = since > SETTLING * env.facts.others.len() as u32 + overdue_after(env);
+        let settled = since > NODE_DISCOVERY_TIME * env.facts.others.len() as u32 + overdue_threshold(env);
         let unreporting = std::mem::take(&mut findings.reports_missing);
         // Reports that other nodes hand on arrive all the same, but no call of ours does.
         let calls_lost = alone && self.survey.most_unreachable && !findings.is_most(findings.unheard);
@@ -241,15 +241,15 @@
 }
 
 /// How long after the last report the next one is overdue.
-fn overdue_after(env: &Env) -> Duration {
-    env.facts.report.mul_f64(LATEST_REPORT_FACTOR) + REPORT_SLACK
+fn overdue_threshold(env: &Env) -> Duration {
+    env.facts.report.mul_f64(LATEST_REPORT_FACTOR) + OVERDUE_MARGIN
 }
 
 /// Whether a machine has been quiet for so long, with failed calls, that it may be given up.
-fn is_silent(machine: &Machine, quiet: Duration, late: Duration, give_up: Duration) -> bool {
+fn is_unresponsive(machine: &Machine, quiet: Duration, late: Duration, give_up: Duration) -> bool {
     // One that a new leader never reached has no report that could be overdue.
-    let waited = if machine.fenced.is_some() { late + PROBE } else { PROBE * 2 };
-    let gone = machine.failed_probes >= PROBES && quiet > waited;
+    let waited = if machine.fenced.is_some() { late + PROBE_TIMEOUT } else { PROBE_TIMEOUT * 2 };
+    let gone = machine.failed_probes >= FAILED_PROBES_BEFORE_RELEASE && quiet > waited;
     // One that was not called yet, since calls are few, may live.
     let called = machine.failed_probes > 0 || machine.addr.is_empty();
     (gone || called && quiet > give_up) && !machine.releasing
@@ -257,5 +257,5 @@
 
 /// The first few of many names, for one line.
 fn first_names(names: &[Name]) -> String {
-    names.iter().take(NAMES_SHOWN).map(|name| &**name).collect::<Vec<_>>().join(",")
+    names.iter().take(MAX_NAMES_LOGGED).map(|name| &**name).collect::<Vec<_>>().join(",")
 }
--- a/crates/core/src/fleet/machine.rs
+++ b/crates/core/src/fleet/machine.rs
@@ -1,4 +1,4 @@
-//! A machine as the leader knows it: what its worker told, what is placed on it, and when its lease ends.
+//! A machine as the leader knows it: what its worker reported, which tasks are placed on it, and the state of its lease.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -14,105 +14,133 @@
 use crate::jobs::{Name, TaskKey};
 use crate::quota::Room;
 
-/// Failed calls in a row from which on a machine that reports all the same is no capacity.
-const FAILED_CALLS: u32 = 3;
-/// For so long a worker waits for the answer to a report.
-const ANSWER_LIMIT: Duration = Duration::from_secs(4);
+/// Consecutive failed direct calls from which a machine no longer counts as capacity, even if it still reports.
+const UNUSABLE_AFTER_FAILED_CALLS: u32 = 3;
+/// How long a worker waits for the response to a report.
+const WORKER_RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Room on a machine that is kept for a job.
+/// Resources on a machine that are reserved for a job.
 #[derive(Clone, Debug)]
 pub(crate) struct Reservation {
+    /// Job whose tasks may use the resources.
     pub job: Name,
+    /// Resources that its tasks have not used yet.
     pub resources: Room,
+    /// When the reservation ends.
     pub until: Instant,
-    /// Others were stopped for it; else it waits for what comes free.
+    /// Whether other tasks were stopped for it. Otherwise it waits for resources that become free.
     pub by_preemption: bool,
 }
 
-/// What the leader knows of a machine and its worker.
+/// The leader's state for a machine and its worker.
 #[derive(Clone, Debug)]
 pub(crate) struct Machine {
     pub name: Name,
+    /// Address of its worker for direct calls; empty while unknown.
     pub addr: String,
+    /// Name of its machine type.
     pub kind: String,
     pub zone: String,
+    /// Whether the cloud may reclaim it at short notice.
     pub spot: bool,
-    /// Set once a worker reported or answered.
+    /// Whether it is running: its worker has reported or responded, or the cloud or a record says so.
     pub up: bool,
     /// When it was rented or first known.
     pub known_since: Instant,
+    /// Resources of the machine.
     pub total: Room,
+    /// Resources requested by the tasks placed on it.
     pub used: Room,
+    /// Tasks placed on it.
     pub tasks: BTreeSet<TaskKey>,
+    /// Session of the newest message from its worker.
     pub(super) session: u64,
+    /// Sequence number of that message within the session.
     pub(super) seq: u64,
-    /// Session and number of the newest report; an older one is a late copy.
+    /// Session and sequence number of the newest report; an older one is a delayed duplicate.
     pub(super) newest_report: (u64, u64),
-    /// It reports, but what it is answered does not reach it.
+    /// Its reports arrive, but the responses to them do not reach it.
     pub(super) responses_lost: bool,
-    /// It reported without being expected, and has not shown that it knows our token.
+    /// It reported without being expected, and has not yet shown this leader's token.
     pub(super) unverified: bool,
-    /// Digest of the tasks in the last report, if they are all that is known of it since.
+    /// Digest of the tasks in the last report, unless a later message told more about the tasks.
     pub(super) tasks_digest: Option<u64>,
-    /// There may be orders to give; else its places are as they should be.
+    /// Whether there may be orders to send; otherwise its tasks are as intended.
     pub(super) orders_due: bool,
-    /// It was told lately, or is to be told, to stop tasks at once.
+    /// It was recently ordered, or is to be ordered, to stop tasks at once.
     pub(super) has_immediate_stops: bool,
-    /// It was to be called while it could not be.
+    /// A direct call was due while none could be made.
     pub(super) call_postponed: bool,
-    /// Places that belong to services.
+    /// Number of tasks placed on it that are replicas of services.
     pub(super) service_replicas: u32,
-    /// Session that surely ended with its lease.
+    /// Session whose lease is certain to have expired.
     pub(super) expired_session: Option<u64>,
-    /// When it first showed that it has seen our token.
+    /// When it first showed this leader's token, which makes it ignore earlier leaders.
     pub(super) fenced: Option<Instant>,
+    /// When its worker last showed that it is alive, by a report or a response to a direct call.
     pub last_heard: Instant,
-    /// The last report, or when this leader came to know the machine.
+    /// When it last reported, or when this leader first knew the machine.
     pub(super) last_reported: Instant,
-    /// Time between the last two reports.
+    /// Time between the last two reports that got a response.
     pub(super) report_gap: Option<Duration>,
+    /// When this leader last responded to a report of its worker.
     pub(super) last_response: Option<Instant>,
+    /// When the cloud reclaims it, after a notice.
     pub reclaimed_at: Option<Instant>,
+    /// The direct call in flight.
     pub(super) direct_call: Option<DirectCall>,
+    /// Earliest time of the next direct call, after a failed or recent one.
     pub(super) next_call_at: Option<Instant>,
+    /// Starts sent by failed direct calls, which may still run.
     pub(super) unresolved_starts: BTreeSet<Attempt>,
     /// Exited tasks that the worker still lists.
     pub(super) exited: BTreeMap<Attempt, TaskKey>,
+    /// Attempts that the worker lists but that are not placed on it, and whether each has exited.
     pub(super) unexpected: Vec<(Attempt, bool)>,
-    /// Images believed to be on it.
+    /// Images assumed to be cached on it.
     pub images: ImageCache,
-    /// It is being returned, or is about to be.
+    /// It is being released, or is about to be.
     pub releasing: bool,
+    /// When the cloud was asked to release it.
     pub release_sent: Option<Instant>,
+    /// Its report is overdue.
     pub suspect: bool,
-    /// Direct calls that failed since its report was overdue.
+    /// Number of direct calls that failed since its report was overdue.
     pub(super) failed_probes: u32,
-    /// Direct calls in a row that failed, whatever it reported meanwhile: it may be heard and
-    /// hear nothing itself. It gets no work until one is answered.
+    /// Number of consecutive direct calls that failed, whatever it reported meanwhile: its messages
+    /// may arrive while none reaches it. It gets no work until it responds to one.
     pub(super) failed_calls: u32,
-    /// It answers direct calls, but its reports come no more, and so its lease ends again and
-    /// again: what is started there is lost.
+    /// It responds to direct calls, but its reports no longer arrive. Its lease therefore expires
+    /// again and again, and whatever is started there is lost.
     pub(super) reports_missing: bool,
+    /// It fails the tasks that it starts, and gets no more.
     pub quarantined: bool,
-    /// Jobs whose tasks failed here since a task that started later completed.
+    /// Jobs with a task that failed here, by the time of the failure. An entry is removed when a
+    /// task that was placed after that time completes.
     pub(super) failed_jobs: BTreeMap<Name, Instant>,
+    /// Since when no task has been placed on it.
     pub idle_since: Option<Instant>,
-    /// More than enough is there: it gets no work that fits elsewhere, to be returned.
+    /// The fleet has spare capacity: this machine gets no work that fits elsewhere, so that it can be released.
     pub retiring: bool,
+    /// It gets no tasks before this time, after one did not fit.
     pub(super) full_until: Option<Instant>,
     pub reservation: Option<Reservation>,
+    /// Its tasks run slower than elsewhere.
     pub straggler: bool,
     /// When its straggler value was last too high.
     pub last_straggling: Option<Instant>,
+    /// Its eSplash level.
     pub level: usize,
     /// Whether its zone takes new work.
     pub access: Access,
-    /// Its zone is not healthy: what it was drained for when that was seen still holds.
+    /// Its zone is not healthy, so the drain reasons recorded when that was detected still apply.
     pub zone_unhealthy: bool,
+    /// Reasons for which it was being drained at that time.
     pub drain: Drain,
 }
 
 impl Machine {
+    /// Returns a machine of which nothing but the name is known.
     pub(super) fn new(name: Name, now: Instant) -> Machine {
         Machine {
             name,
@@ -169,37 +197,39 @@
         }
     }
 
-    /// Known from a record only: it may hold tasks.
+    /// Returns a machine that is known only from a record; it may run tasks.
     pub fn from_record(name: Name, addr: String, now: Instant) -> Machine {
         Machine { addr, up: true, ..Machine::new(name, now) }
     }
 
-    /// Rented, but not yet up.
-    pub fn rented(name: Name, kind: &MachineType, zone: &str, spot: bool, now: Instant) -> Machine {
-        let mut machine = Machine { kind: kind.name.clone(), zone: zone.into(), spot, ..Machine::new(name, now) };
-        machine.apply_type(Some(kind));
+    /// Returns a machine that was rented but is not yet up.
+    pub fn rented(name: Name, machine_type: &MachineType, zone: &str, spot: bool, now: Instant) -> Machine {
+        let mut machine =
+            Machine { kind: machine_type.name.clone(), zone: zone.into(), spot, ..Machine::new(name, now) };
+        machine.apply_type(Some(machine_type));
         machine
     }
 
-    /// A worker reports from it for the first time, or as another kind of machine.
-    pub(super) fn mark_up(&mut self, now: Instant, report: &Report, kind: Option<&MachineType>) {
+    /// Marks the machine as up when its worker first reports, or reports another machine type.
+    pub(super) fn mark_up(&mut self, now: Instant, report: &Report, machine_type: Option<&MachineType>) {
         tracing::debug!(machine = &*self.name, after_s = now.duration_since(self.known_since).as_secs(), "up");
         self.up = true;
         self.idle_since.get_or_insert(now);
         self.kind = report.kind.clone();
         self.zone = report.zone.clone();
         self.spot = report.spot;
-        self.apply_type(kind);
+        self.apply_type(machine_type);
     }
 
-    /// What the cloud says of its type, if it does.
-    pub fn apply_type(&mut self, kind: Option<&MachineType>) {
-        if let Some(kind) = kind {
-            self.total = Room { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
-            self.images.resize(kind.cache_gb);
+    /// Sets the resources and the image cache size by the machine type, if that is known.
+    pub fn apply_type(&mut self, machine_type: Option<&MachineType>) {
+        if let Some(machine_type) = machine_type {
+            self.total = Room { cpus: machine_type.cpus, gpus: machine_type.gpus, memory_gb: machine_type.memory_gb };
+            self.images.resize(machine_type.cache_gb);
         }
     }
 
+    /// Adds a task that is placed on the machine.
     pub fn add_task(&mut self, key: TaskKey, spec: &JobSpec) {
         if self.tasks.insert(key) {
             self.orders_due = true;
@@ -209,6 +239,7 @@
         }
     }
 
+    /// Removes a task whose placement has ended.
     pub(super) fn remove_task(&mut self, key: &TaskKey, spec: &JobSpec, now: Instant) {
         if self.tasks.remove(key) {
             self.service_replicas -= u32::from(spec.kind == Kind::Service);
@@ -220,12 +251,12 @@
         }
     }
 
-    /// Whether its worker has shown this leader what it holds.
+    /// Whether its worker has shown this leader's token, and so which tasks it runs.
     pub fn is_fenced(&self) -> bool {
         self.fenced.is_some()
     }
 
-    /// Whether a report of its worker was answered lately, and so its lease renewed.
+    /// Whether a recent report of its worker got a response, which renews its lease.
     pub fn lease_recently_renewed(&self, now: Instant, report: Duration) -> bool {
         let longest = report.mul_f64(LATEST_REPORT_FACTOR) + REPORT_DELAY_ALLOWANCE;
         self.last_response.is_some_and(|at| now.duration_since(at) <= longest)
@@ -242,30 +273,31 @@
             && !self.quarantined
             && matches!(self.access, Access::Open | Access::Ramped)
             && self.reclaimed_at.is_none()
-            && self.full_until.is_none_or(|t| t <= now)
+            && self.full_until.is_none_or(|until| until <= now)
     }
 
-    /// Whether the machine is expected to take tasks, now or once it is up. One whose report
-    /// is overdue is, until a call to it fails.
+    /// Whether the machine is expected to take tasks, now or once it is up. One with an overdue
+    /// report still counts until a direct call to it fails.
     pub fn counts_as_capacity(&self) -> bool {
-        let silent =
-            (self.suspect && self.failed_probes > 0) || self.failed_calls >= FAILED_CALLS || self.reports_missing;
-        let takes_tasks = !silent && !self.quarantined && self.access != Access::Closed;
+        let unresponsive = (self.suspect && self.failed_probes > 0)
+            || self.failed_calls >= UNUSABLE_AFTER_FAILED_CALLS
+            || self.reports_missing;
+        let takes_tasks = !unresponsive && !self.quarantined && self.access != Access::Closed;
         !self.releasing && takes_tasks && self.reclaimed_at.is_none() && !self.unverified
     }
 
-    /// Whether it was being drained for a reason when its zone was suspected.
+    /// Whether it was being drained for this reason when its zone became suspect.
     pub fn was_drained_for(&self, reason: fn(Drain) -> bool) -> bool {
         self.zone_unhealthy && reason(self.drain)
     }
 
-    /// Whether its worker surely hears the answers to its reports: it keeps one in flight at a time, and waits
-    /// for an answer for longer than passed between the last two.
+    /// Whether responses to its reports are certain to reach its worker. The worker keeps one report in flight at a
+    /// time: if the last two came within its timeout for a response, the response to the first one arrived.
     pub fn receives_responses(&self) -> bool {
-        self.report_gap.is_some_and(|gap| gap < ANSWER_LIMIT)
+        self.report_gap.is_some_and(|gap| gap < WORKER_RESPONSE_TIMEOUT)
     }
 
-    /// Whether it answers calls while its reports come no more.
+    /// Whether it responds to direct calls while its reports no longer arrive.
     pub fn reports_missing(&self) -> bool {
         self.reports_missing
     }
@@ -275,29 +307,32 @@
         self.access == Access::Open
     }
 
+    /// Number of service replicas placed on it.
     pub fn service_replicas(&self) -> u32 {
         self.service_replicas
     }
 
+    /// Whether any service replica is placed on it.
     pub fn hosts_service(&self) -> bool {
         self.service_replicas > 0
     }
 
-    /// A sign of life. A report alone is none for a machine whose reports were overdue: its
-    /// answers may not reach it. The next one, in time, shows that the first was answered; so
-    /// does the answer to a direct call.
-    pub(super) fn note_alive(&mut self, now: Instant, via: Channel, report: Duration) {
+    /// Notes a message from the worker. A single report does not clear the suspicion of a machine
+    /// whose reports were overdue, since the response may not reach it. A further report in time
+    /// does, because it shows that the response to the first one arrived; so does the response to
+    /// a direct call.
+    pub(super) fn note_alive(&mut self, now: Instant, channel: Channel, report: Duration) {
         let prompt =
             now.duration_since(self.last_reported) <= report.mul_f64(LATEST_REPORT_FACTOR) + REPORT_DELAY_ALLOWANCE;
         self.last_heard = now;
-        self.reports_missing &= via == Channel::Direct;
-        if via == Channel::Direct {
+        self.reports_missing &= channel == Channel::Direct;
+        if channel == Channel::Direct {
             self.failed_calls = 0;
         } else if self.failed_calls > 0 {
-            // It is back, or it hears nothing: a call tells.
-            self.next_call_at = self.next_call_at.map(|t| t.min(now));
+            // It has recovered, or nothing reaches it: a direct call shows which.
+            self.next_call_at = self.next_call_at.map(|at| at.min(now));
         }
-        if via == Channel::Direct || prompt {
+        if channel == Channel::Direct || prompt {
             self.suspect = false;
             self.failed_probes = 0;
             self.releasing &= self.release_sent.is_some() || self.responses_lost;
--- a/crates/core/src/fleet/orders.rs
+++ b/crates/core/src/fleet/orders.rs
@@ -1,7 +1,8 @@
-//! Orders to workers, in answers to reports and in direct calls.
+//! Orders to workers, sent in responses to reports and in direct calls.
 //!
-//! Guards against a late start: one that went out directly and was not answered may still run, so the
-//! exited entry that would stop it is kept, with no `clear`, until the order is resolved.
+//! Keeps a late start from running a task a second time: a start that was sent by a direct call without a response may
+//! still run. The worker's entry for the exited task, which blocks that start, is therefore kept (no `forget` order)
+//! until the order is resolved.
 
 use std::time::{Duration, Instant};
 
@@ -16,118 +17,119 @@
 use crate::jobs::*;
 use crate::term::Term;
 
-/// Orders in one message, stops apart; the rest goes with the next.
-const MAX_ORDERS: usize = 200;
-/// After a direct order failed, the next one waits.
-const DIRECT_RETRY: Duration = Duration::from_millis(500);
-/// The wait grows by itself up to so many times: when a zone is cut off, hundreds of machines
-/// cannot be called, and each will report by itself once it can.
-const MOST_BACKOFF: u32 = 6;
+/// Most orders in one message, not counting stops; the others go with the next message.
+const MAX_ORDERS_PER_MESSAGE: usize = 200;
+/// Delay of the next direct call after a failed one.
+const DIRECT_CALL_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Largest multiple of the retry delay. It is high because a partitioned zone leaves hundreds of
+/// machines that cannot be called, and each will report by itself once it can.
+const MAX_BACKOFF_MULTIPLIER: u32 = 6;
 
 impl Term {
-    /// The outcome of direct orders.
+    /// Handles the outcome of a direct call.
     pub fn direct_call_finished(&mut self, env: &mut Env, name: &Name, outcome: Outcome<(u16, Report)>) {
         let now = env.steady();
         self.directs -= 1;
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        let Some(direct) = machine.direct_call.take() else {
+        let Some(call) = machine.direct_call.take() else {
             return;
         };
-        let fate = match &outcome {
+        let event = match &outcome {
             Outcome::Answered((200, _)) => StopEvent::Done,
             Outcome::Answered(_) => StopEvent::Refused,
             _ => StopEvent::Lost,
         };
-        self.stops.record(fate, direct.cancelled_stops);
+        self.stops.record(event, call.cancelled_stops);
         match outcome {
             Outcome::Answered((status, report)) if report.machine == **name => {
                 if status == 409 {
-                    // Nothing of it was executed, nor will be.
+                    // None of the orders was executed or will be.
                     let session = report.session;
                     tracing::debug!(machine = &**name, session, token = report.token, "direct orders refused");
                 }
-                if (report.session, report.seq) < direct.newest_message {
-                    // The answer is fresh and yet older than what was known before the call:
-                    // the worker began anew, and what it lists is all that is there. But a
-                    // start that was not answered may still run there: it goes with the machine.
+                if (report.session, report.seq) < call.newest_message {
+                    // The response is new, but its session and sequence number are older than those
+                    // known before the call: the worker has restarted, and it lists all that it runs.
+                    // A start that got no response may still run there, so the machine is released.
                     let unresolved = machine.unresolved_starts.len();
-                    tracing::info!(machine = &**name, unresolved, "its worker began anew");
+                    tracing::info!(machine = &**name, unresolved, "its worker has restarted");
                     (machine.session, machine.seq, machine.newest_report) = (0, 0, (0, 0));
                     machine.responses_lost |= unresolved > 0;
                     machine.releasing |= machine.responses_lost;
                 }
                 self.apply_report(env, name, &report, Channel::Direct);
-                self.repeat_stops(now, name, direct.has_stops);
+                self.repeat_stops(now, name, call.has_stops);
                 let Some(machine) = self.machines.get_mut(name) else {
                     return;
                 };
                 if status == 409 && machine.fenced.is_some() {
-                    machine.next_call_at = Some(now + DIRECT_RETRY / 4);
+                    machine.next_call_at = Some(now + DIRECT_CALL_RETRY_DELAY / 4);
                     machine.call_postponed = true;
                 } else if machine.fenced.is_none() || std::mem::take(&mut machine.call_postponed) {
-                    // It did not know the session; now it is known. Or there are orders since.
+                    // This leader did not know the session and now does, or new orders came up meanwhile.
                     self.call_soon(name);
                 }
             }
             outcome => {
-                machine.note_failed_call(now, DIRECT_RETRY, MOST_BACKOFF);
-                // Unless it was surely not carried out, what it started may run yet.
-                if !matches!(outcome, Outcome::NotDone) && machine.session == direct.session {
-                    machine.unresolved_starts.extend(direct.starts);
+                machine.note_failed_call(now, DIRECT_CALL_RETRY_DELAY, MAX_BACKOFF_MULTIPLIER);
+                // Its starts may still run, unless the call is known not to have been made.
+                if !matches!(outcome, Outcome::NotDone) && machine.session == call.session {
+                    machine.unresolved_starts.extend(call.starts);
                 }
             }
         }
     }
 
-    /// What the machine should be told now: stops first, since they free room and an answer must hold all of them.
-    pub(super) fn orders_for(&mut self, now: Instant, name: &Name, via: Channel) -> MachineOrders {
-        let mut message = self.stops_for(now, name, via);
+    /// Returns the orders to send to the machine now: stops first, since they free resources and since a response must
+    /// contain all of them.
+    pub(super) fn orders_for(&mut self, now: Instant, name: &Name, channel: Channel) -> MachineOrders {
+        let mut message = self.stops_for(now, name, channel);
         let Some(machine) = self.machines.get_mut(name) else {
             return message;
         };
         if machine.fenced.is_none() || !machine.orders_due {
             return message;
         }
-        let mut due_again = !machine.unexpected.is_empty() || !machine.exited.is_empty();
+        let mut orders_remain = !machine.unexpected.is_empty() || !machine.exited.is_empty();
         for key in &machine.tasks {
             let place = self.jobs.get_mut(&key.0).and_then(|job| job.places.get_mut(&key.1)).expect("placed");
-            due_again |= !place.stage.is_seen() || place.stop.is_some();
-            if place.stop.is_some() || place.stage.is_seen() || message.orders.len() >= MAX_ORDERS {
+            orders_remain |= !place.stage.is_seen() || place.stop.is_some();
+            if place.stop.is_some() || place.stage.is_seen() || message.orders.len() >= MAX_ORDERS_PER_MESSAGE {
                 continue;
             }
             let task = format!("{}/{}", key.0, key.1);
-            let on_its_way = machine.start_in_flight(&(task.clone(), place.attempt));
-            message.orders.extend(start_for(via, task, place, on_its_way));
+            let in_flight = machine.start_in_flight(&(task.clone(), place.attempt));
+            message.orders.extend(start_order(channel, task, place, in_flight));
         }
-        machine.orders_due = due_again;
-        self.forget_exited(name, via, &mut message.orders);
+        machine.orders_due = orders_remain;
+        self.forget_exited(name, channel, &mut message.orders);
         message
     }
 
-    /// Entries of exited tasks may go once nothing can run because of that.
-    fn forget_exited(&self, name: &Name, via: Channel, orders: &mut Vec<Order>) {
+    /// Orders the worker to forget exited tasks whose starts can no longer run.
+    fn forget_exited(&self, name: &Name, channel: Channel, orders: &mut Vec<Order>) {
         let machine = &self.machines[name];
-        let resolved = |attempt: &Attempt| via == Channel::Report && !machine.unresolved_starts(attempt);
+        let resolved = |attempt: &Attempt| channel == Channel::Report && !machine.may_still_start(attempt);
         let forget = |(task, attempt): &Attempt| Order::Forget { task: task.clone(), attempt: *attempt };
         let unexpected = machine.unexpected.iter().filter(|(attempt, exited)| *exited && resolved(attempt));
         let unexpected = unexpected.map(|(attempt, _)| forget(attempt));
-        orders.extend(unexpected.take(MAX_ORDERS.saturating_sub(orders.len())));
+        orders.extend(unexpected.take(MAX_ORDERS_PER_MESSAGE.saturating_sub(orders.len())));
         let durable = |(attempt, key): &(&Attempt, &TaskKey)| resolved(attempt) && self.records.durable(key);
         let exited = machine.exited.iter().filter(durable).map(|(attempt, _)| forget(attempt));
-        orders.extend(exited.take(MAX_ORDERS.saturating_sub(orders.len())));
+        orders.extend(exited.take(MAX_ORDERS_PER_MESSAGE.saturating_sub(orders.len())));
     }
 
-    /// A machine has orders, or must be shown the token, before its next report.
+    /// Queues a direct call to a machine that needs orders, or the token, before its next report.
     pub fn call_soon(&mut self, name: &Name) {
         if let Some(machine) = self.machines.get(name) {
             self.to_call.insert((machine.call_reason(), name.clone()));
         }
     }
 
-    /// Sends direct orders to the machines that should not wait for their report, those with
-    /// services first, as many at a time as there are sockets for.
+    /// Makes the queued direct calls, those to machines with services first, as many as the limit
+    /// on concurrent calls allows.
     pub fn make_calls(&mut self, env: &mut Env) {
         let now = env.steady();
         while self.free_calls(env) > 0 {
@@ -140,7 +142,7 @@
             if machine.addr.is_empty() || !machine.up {
                 continue;
             }
-            if machine.direct_call.is_some() || machine.next_call_at.is_some_and(|t| t > now) {
+            if machine.direct_call.is_some() || machine.next_call_at.is_some_and(|at| at > now) {
                 machine.call_postponed = true;
                 continue;
             }
@@ -153,6 +155,7 @@
         }
     }
 
+    /// Sends orders to a machine by a direct call.
     pub(super) fn start_direct_call(&mut self, env: &mut Env, name: &Name, orders: Vec<Order>) {
         self.call_begun();
         let cancelled_stops = self.count_cancelled_stops(&orders);
@@ -163,25 +166,25 @@
             _ => None,
         });
         let session = machine.session;
-        let (seen, starts): (_, Vec<Attempt>) = ((session, machine.seq), starts.collect());
-        let stops = orders.iter().any(|order| matches!(order, Order::Stop { .. }));
-        // A call to a worker that may be out of reach is not waited for long; stops can be repeated, starts cannot.
-        let doubtful = orders.is_empty() || machine.failed_calls > 0 || machine.suspect;
-        let probe = starts.is_empty() && doubtful;
+        let (newest_message, starts): (_, Vec<Attempt>) = ((session, machine.seq), starts.collect());
+        let has_stops = orders.iter().any(|order| matches!(order, Order::Stop { .. }));
+        // A call to a worker that may be unreachable gets a short timeout, unless it carries starts: stops can be
+        // repeated, starts cannot.
+        let maybe_unreachable = orders.is_empty() || machine.failed_calls > 0 || machine.suspect;
+        let probe = starts.is_empty() && maybe_unreachable;
         tracing::debug!(machine = &**name, token = self.token, session, orders = orders.len(), cancelled_stops, "call");
-        machine.direct_call =
-            Some(DirectCall { session, newest_message: seen, starts, has_stops: stops, cancelled_stops });
+        machine.direct_call = Some(DirectCall { session, newest_message, starts, has_stops, cancelled_stops });
         let body = Orders { token: self.token, session: Some(session), orders };
         env.order(name.clone(), machine.addr.clone(), body, probe);
     }
 }
 
-/// The start of a task that its machine has not shown yet, if it is to be sent now.
-fn start_for(via: Channel, task: String, place: &mut Place, on_its_way: bool) -> Option<Order> {
+/// Returns the start order of a task that its machine has not reported yet, if it is to be sent now.
+fn start_order(channel: Channel, task: String, place: &mut Place, in_flight: bool) -> Option<Order> {
     if matches!(place.stage, Stage::Planned | Stage::Inherited) {
         return None;
     }
-    let due = !place.sent || (via == Channel::Report && !on_its_way);
+    let due = !place.sent || (channel == Channel::Report && !in_flight);
     due.then(|| {
         place.sent = true;
         Order::Start { task, attempt: place.attempt }
--- a/crates/core/src/fleet/reports.rs
+++ b/crates/core/src/fleet/reports.rs
@@ -1,7 +1,7 @@
-//! Workers' reports: what is learned from them, and which are late copies.
+//! Workers' reports: what the leader learns from them, and how it recognizes delayed duplicates.
 //!
-//! Guards against a task on two machines at once. Only a newer report from a worker that has seen our
-//! token proves that a task is not on its machine; a copy proves nothing and renews nothing.
+//! Keeps a task from running on two machines at once. Only a newer report, from a worker that has seen this leader's
+//! token, proves that a task is not on its machine. A duplicate proves nothing and renews no lease.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -10,35 +10,39 @@
 
 use super::stop_statistics::StopEvent;
 use super::stops::MachineOrders;
-use super::{Attempt, COPY_PROBE, Channel, Machine, RENEWED, ReportedTasks, digest, report_fencing_window};
+use super::{
+    Attempt, Channel, Machine, RENEWED_LEASE_SHARE, ReportedTasks, STALE_REPORT_PROBE_INTERVAL, digest,
+    report_fencing_window,
+};
 use crate::env::Env;
 use crate::io::*;
 use crate::jobs::*;
 use crate::term::Term;
 
 impl Term {
-    /// A worker's report that this leader answers; `None` if its tasks must be told.
+    /// Handles a worker's report and returns the response, or `None` if the worker must send its tasks first.
     pub fn handle_report(&mut self, env: &mut Env, report: Report, tasks: ReportedTasks) -> Option<Answer> {
         let now = env.steady();
         let name = Name::from(report.machine.as_str());
-        let lapsed = self.machines.get(&name).is_some_and(|m| m.expired_session.is_some_and(|s| report.session <= s));
-        if lapsed || self.renting.is_gone(&name) {
-            // Its tasks were given up; an answer would keep them alive.
-            return Some(Answer::later(503, "the lease of this session has ended"));
+        let lease_expired =
+            self.machines.get(&name).is_some_and(|m| m.expired_session.is_some_and(|s| report.session <= s));
+        if lease_expired || self.renting.is_gone(&name) {
+            // Its tasks are considered lost; a response would renew their lease.
+            return Some(Answer::later(503, "the lease of this session has expired"));
         }
-        let free = self.free_calls(env) > 0;
+        let may_call = self.free_calls(env) > 0;
         if let Some(machine) = self.machines.get_mut(&name)
             && (report.session, report.seq) <= machine.newest_report
         {
-            // A copy that comes late proves nothing and renews nothing: its worker may be
-            // long dead. Or the worker began anew: its answer to a direct call tells.
-            if free && machine.direct_call.is_none() && machine.next_call_at.is_none_or(|t| t <= now) {
-                machine.next_call_at = Some(now + COPY_PROBE);
+            // A delayed duplicate proves nothing and renews nothing: its worker may have died
+            // since. Or the worker has restarted, which its response to a probe will show.
+            if may_call && machine.direct_call.is_none() && machine.next_call_at.is_none_or(|at| at <= now) {
+                machine.next_call_at = Some(now + STALE_REPORT_PROBE_INTERVAL);
                 self.probe(env, &name);
             }
-            return Some(Answer::later(503, "an older report"));
+            return Some(Answer::later(503, "a newer report of this worker has arrived"));
         }
-        let seen = (report.session, report.seq);
+        let report_number = (report.session, report.seq);
         let message = if self.ready() {
             match self.apply_reported_tasks(env, &name, report, tasks) {
                 Ok(true) => self.orders_for(now, &name, Channel::Report),
@@ -53,17 +57,17 @@
         };
         if message.stops_omitted {
             self.call_soon(&name);
-            return Some(Answer::later(503, "its stops do not fit into an answer"));
+            return Some(Answer::later(503, "the stops for this worker do not fit into one response"));
         }
-        self.note_response(now, &name, seen, &message.orders);
+        self.note_response(now, &name, report_number, &message.orders);
         Some(Answer::json(200, &Orders { token: self.token, session: None, orders: message.orders }))
     }
 
-    /// A report is answered, which renews the worker's lease.
-    fn note_response(&mut self, now: Instant, name: &Name, seen: (u64, u64), orders: &[Order]) {
+    /// Notes a response to a report, which renews the worker's lease.
+    fn note_response(&mut self, now: Instant, name: &Name, report_number: (u64, u64), orders: &[Order]) {
         let cancelled_stops = self.count_cancelled_stops(orders);
         if cancelled_stops > 0 {
-            tracing::debug!(machine = &**name, token = self.token, ?seen, cancelled_stops, "answer with stops");
+            tracing::debug!(machine = &**name, token = self.token, seen = ?report_number, cancelled_stops, "response with stops");
         }
         self.stops.record(StopEvent::SentInResponse, cancelled_stops);
         let ready = self.ready();
@@ -73,7 +77,7 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return;
         };
-        machine.newest_report = machine.newest_report.max(seen);
+        machine.newest_report = machine.newest_report.max(report_number);
         if ready {
             machine.last_response = Some(now);
             machine.report_gap = Some(now.duration_since(machine.last_reported));
@@ -81,17 +85,17 @@
         }
     }
 
-    /// What an answer must stop that is given while the tables are not filled, since it lets
-    /// all else run for another lease; `None` if the tasks must be told for that.
+    /// Returns the stops for a response that is sent before the records are loaded, since all other
+    /// tasks of the worker run on for another lease; `None` if the worker must send its tasks first.
     fn stops_while_loading(&self, report: &Report, tasks: ReportedTasks) -> Option<MachineOrders> {
         if !self.jobs.values().any(|job| job.cancelled) {
             return Some(MachineOrders::default());
         }
-        let read: Vec<TaskReport>;
+        let parsed: Vec<TaskReport>;
         let listed = match tasks {
             ReportedTasks::Raw(raw) => {
-                read = serde_json::from_str(raw.get()).unwrap_or_default();
-                &read
+                parsed = serde_json::from_str(raw.get()).unwrap_or_default();
+                &parsed
             }
             ReportedTasks::Parsed(_) => &report.tasks,
             ReportedTasks::Digest(_) => return None,
@@ -99,7 +103,7 @@
         Some(MachineOrders::with_stops(&self.attempts_of_cancelled_jobs(listed)))
     }
 
-    /// Listed tasks of cancelled jobs that have not ended.
+    /// Returns the listed attempts of cancelled jobs that have not exited.
     pub(super) fn attempts_of_cancelled_jobs(&self, listed: &[TaskReport]) -> Vec<Attempt> {
         let cancelled = |task: &&TaskReport| {
             let job = parse_task(&task.task).and_then(|(id, _)| self.jobs.get(id));
@@ -108,9 +112,9 @@
         listed.iter().filter(cancelled).map(|task| (task.task.clone(), task.attempt)).collect()
     }
 
-    /// Reads a report's tasks only if they are not those of the report before: in a large
-    /// fleet most are, and there is nothing to learn from them but that the machine lives.
-    /// False if they changed and are not there to be read.
+    /// Parses and applies a report's tasks only if they differ from those of the previous report.
+    /// In a large fleet most are the same, and show only that the machine is alive. Returns false
+    /// if they changed and the report does not include them.
     pub(super) fn apply_reported_tasks(
         &mut self,
         env: &mut Env,
@@ -148,8 +152,8 @@
         Ok(true)
     }
 
-    /// Learns from a report; false if it says nothing of the tasks.
-    pub(super) fn apply_report(&mut self, env: &mut Env, name: &Name, report: &Report, via: Channel) -> bool {
+    /// Applies a report, or the response to a direct call; returns false if it shows nothing about the tasks.
+    pub(super) fn apply_report(&mut self, env: &mut Env, name: &Name, report: &Report, channel: Channel) -> bool {
         let now = env.steady();
         let machine = self.machines.entry(name.clone()).or_insert_with(|| {
             tracing::info!(machine = &**name, spot = report.spot, zone = report.zone, "an unexpected machine reports");
@@ -165,20 +169,23 @@
             self.place_due = true;
         }
         machine.addr = report.addr.clone();
-        machine.note_alive(now, via, env.facts.report);
+        machine.note_alive(now, channel, env.facts.report);
         let new_session = report.session > machine.session && machine.session > 0;
-        let renewed = machine.last_response.is_some_and(|t| now.duration_since(t) < env.facts.lease.mul_f64(RENEWED));
-        if new_session && renewed && via == Channel::Report && machine.fenced.is_some() && !machine.responses_lost {
-            // Its lease ended although it was answered: the answers do not reach it. It gets
-            // no work and is returned; its tasks move once that is confirmed, or by its session.
-            tracing::info!(machine = &**name, "answers do not reach it; given up");
+        let renewed = machine
+            .last_response
+            .is_some_and(|at| now.duration_since(at) < env.facts.lease.mul_f64(RENEWED_LEASE_SHARE));
+        if new_session && renewed && channel == Channel::Report && machine.fenced.is_some() && !machine.responses_lost {
+            // Its lease expired although its reports got responses, so these do not reach it. It
+            // gets no work and is released. Its tasks are placed again once the release is
+            // confirmed, or once its new session shows that they have stopped.
+            tracing::info!(machine = &**name, "responses do not reach its worker; releasing the machine");
             machine.responses_lost = true;
             machine.releasing = true;
         }
         machine.session = report.session;
         machine.seq = report.seq;
         if report.token < self.token {
-            self.show_token(env, name, report, via);
+            self.show_token(env, name, report, channel);
             return false;
         }
         let was_fenced = machine.fenced.is_some();
@@ -192,16 +199,16 @@
         true
     }
 
-    /// An earlier leader may still command the worker: it must be shown the token first. The answer to
-    /// a report does so too, a little later; and it renews the worker's lease, so it must stop what is
-    /// cancelled.
-    fn show_token(&mut self, env: &Env, name: &Name, report: &Report, via: Channel) {
+    /// Arranges for a worker to see this leader's token, since an earlier leader may still command it. The response to
+    /// a report also shows the token, a little later; and as it renews the worker's lease, it must stop the tasks of
+    /// cancelled jobs.
+    fn show_token(&mut self, env: &Env, name: &Name, report: &Report, channel: Channel) {
         let cancelled = self.attempts_of_cancelled_jobs(&report.tasks).into_iter();
         let unexpected = cancelled.map(|attempt| (attempt, false)).collect();
         self.machines.get_mut(name).expect("reported").unexpected = unexpected;
-        let since = env.steady().duration_since(self.since);
-        let later = via == Channel::Report && since < report_fencing_window(env.facts.report);
-        if !later || self.machines[name].hosts_service() {
+        let leading_for = env.steady().duration_since(self.since);
+        let response_suffices = channel == Channel::Report && leading_for < report_fencing_window(env.facts.report);
+        if !response_suffices || self.machines[name].hosts_service() {
             self.call_soon(name);
         }
     }
@@ -223,40 +230,41 @@
             listed.insert(attempt);
         }
         let machine = self.machines.get_mut(name).expect("reported");
-        let stop = unexpected.iter().any(|(_, exited)| !exited);
+        let must_stop = unexpected.iter().any(|(_, exited)| !exited);
         machine.unexpected = unexpected;
         machine.orders_due = true;
         machine.exited.retain(|attempt, _| listed.contains(attempt));
         let missing: Vec<TaskKey> = machine.tasks.difference(&seen).cloned().collect();
         let has_stops = self.has_task_to_stop_now(&self.machines[name]);
         self.machines.get_mut(name).expect("reported").has_immediate_stops = has_stops;
-        if stop {
+        if must_stop {
             self.call_soon(name);
         }
         self.handle_missing_tasks(env, name, missing);
     }
 
+    /// Whether this attempt of the task is placed on the machine.
     fn is_placed(&self, key: &TaskKey, machine: &Name, attempt: u64) -> bool {
         let place = self.jobs.get(&key.0).and_then(|job| job.places.get(&key.1));
         place.is_some_and(|place| place.machine == *machine && place.attempt == attempt)
     }
 
-    /// Tasks placed on the machine that its worker does not list. A start that was only ordered is
-    /// repeated; what was there before, or came from a record, is proven gone.
+    /// Handles tasks that are placed on the machine but not listed by its worker. A task that was only ordered to
+    /// start is ordered again. One that was listed before, or comes from a record, is proven to be gone.
     fn handle_missing_tasks(&mut self, env: &mut Env, name: &Name, missing: Vec<TaskKey>) {
         let now = env.steady();
         for key in missing {
             let place = &self.jobs[&key.0].places[&key.1];
-            let late = self.machines[name].unresolved_starts.contains(&(format!("{}/{}", key.0, key.1), place.attempt));
-            if !matches!(place.stage, Stage::Planned | Stage::Ordered) && !late {
-                tracing::debug!(job = &*key.0, task = key.1, machine = &**name, "not there");
+            let may_still_start =
+                self.machines[name].unresolved_starts.contains(&(format!("{}/{}", key.0, key.1), place.attempt));
+            if !matches!(place.stage, Stage::Planned | Stage::Ordered) && !may_still_start {
+                tracing::debug!(job = &*key.0, task = key.1, machine = &**name, "task is missing from its machine");
                 self.clear_placement(env, &key, now);
             }
         }
     }
 
-    /// A new session: the worker has dropped everything, and no order of the old
-    /// session is taken any more.
+    /// Handles a new session: the worker has stopped all tasks, and accepts no more orders of the old session.
     fn handle_new_session(&mut self, env: &mut Env, name: &Name) {
         let now = env.steady();
         let machine = self.machines.get_mut(name).expect("reported");
--- a/crates/core/src/fleet/stop_statistics.rs
+++ b/crates/core/src/fleet/stop_statistics.rs
@@ -14,7 +14,7 @@
 use crate::term::Term;
 
 /// Least time between two lines on stops.
-const LINE_PERIOD: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Messages to machines that carried stops, and the tasks that these concerned.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -131,7 +131,7 @@
     /// Writes a line if any stop was sent or had an outcome since the last one.
     pub(super) fn log_stops(&mut self, env: &Env) {
         let now = env.steady();
-        let early = self.stops.logged_at.is_some_and(|t| now.duration_since(t) < LINE_PERIOD);
+        let early = self.stops.logged_at.is_some_and(|t| now.duration_since(t) < LOG_INTERVAL);
         if early || self.stops.counts == StopCounts::default() {
             return;
         }
@@ -149,11 +149,11 @@
         tracing::info!(
             token = self.token,
             heard,
-            called = %shown(called),
-            told = %shown(told),
-            done = %shown(done),
-            refused = %shown(refused),
-            lost = %shown(lost),
+            called = %format_count(called),
+            told = %format_count(told),
+            done = %format_count(done),
+            refused = %format_count(refused),
+            lost = %format_count(lost),
             ended,
             jobs = awaited.jobs,
             awaited = awaited.tasks,
@@ -163,6 +163,6 @@
     }
 }
 
-fn shown(count: StopCount) -> String {
+fn format_count(count: StopCount) -> String {
     format!("{}/{}", count.tasks, count.messages)
 }
--- a/crates/core/src/fleet/stops.rs
+++ b/crates/core/src/fleet/stops.rs
@@ -14,13 +14,13 @@
 use crate::term::Term;
 
 /// Bytes of the stops in one message; workers take lines of up to 64 KiB.
-const MOST_STOP_BYTES: usize = 48 * 1024;
+const MAX_STOP_BYTES: usize = 48 * 1024;
 /// Bytes of an encoded order beside its task's name, about.
-const ORDER_BYTES: usize = 80;
+const ORDER_OVERHEAD_BYTES: usize = 80;
 /// A stop that was carried out and shows no effect is repeated after this time.
-const REPEAT_STOP: Duration = Duration::from_secs(1);
+const STOP_REPEAT_DELAY: Duration = Duration::from_secs(1);
 /// A stop with grace that shows no effect is repeated after this time.
-const REPEAT_GRACEFUL_STOP: Duration = Duration::from_secs(1);
+const GRACEFUL_STOP_REPEAT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The orders of one message to a machine.
 #[derive(Debug, Default)]
@@ -44,8 +44,8 @@
 
     /// Adds stops that belong together, if there is room; false if there is none.
     fn try_add_stops<const N: usize>(&mut self, stops: [Order; N]) -> bool {
-        let bytes: usize = stops.iter().map(|order| order.task().len() + ORDER_BYTES).sum();
-        let room = self.stop_bytes + bytes <= MOST_STOP_BYTES;
+        let bytes: usize = stops.iter().map(|order| order.task().len() + ORDER_OVERHEAD_BYTES).sum();
+        let room = self.stop_bytes + bytes <= MAX_STOP_BYTES;
         if room {
             self.orders.extend(stops);
             self.stop_bytes += bytes;
@@ -87,7 +87,7 @@
             return;
         };
         if told {
-            machine.next_call_at = Some(now + REPEAT_STOP);
+            machine.next_call_at = Some(now + STOP_REPEAT_DELAY);
             machine.call_postponed = true;
         } else {
             self.call_soon(name);
@@ -127,6 +127,6 @@
 /// An immediate stop goes with every message until its effect is seen, since it can be repeated freely. One that
 /// saves is told again only if it must not.
 fn is_due(now: Instant, stop: &StopRequest, stage: Stage) -> bool {
-    let told_lately = stop.sent.is_some_and(|sent| now.duration_since(sent) <= REPEAT_GRACEFUL_STOP);
+    let told_lately = stop.sent.is_some_and(|sent| now.duration_since(sent) <= GRACEFUL_STOP_REPEAT_INTERVAL);
     stop.is_immediate() || stop.sent.is_none() || stage != Stage::Saving && !told_lately
 }
--- a/crates/core/src/fleet/survey.rs
+++ b/crates/core/src/fleet/survey.rs
@@ -19,15 +19,15 @@
 
 /// Machines that must fail to answer for a survey, the machines that it asks, those that a leader
 /// without workers of its own asks, how often it is made, and when its answers are in.
-pub(super) const SURVEY_FROM: usize = 3;
-pub(super) const SURVEYED: usize = 48;
-pub(super) const ASKED_ALONE: usize = 8;
-const SURVEY_PERIOD: Duration = Duration::from_secs(5);
-const SURVEY_ANSWERED: Duration = Duration::from_millis(1000);
-const SURVEY_LONGEST: Duration = Duration::from_millis(2000);
+pub(super) const MIN_FAILING_FOR_SURVEY: usize = 3;
+pub(super) const SURVEY_SAMPLE_SIZE: usize = 48;
+pub(super) const ISOLATED_SAMPLE_SIZE: usize = 8;
+const SURVEY_INTERVAL: Duration = Duration::from_secs(5);
+const SURVEY_RESPONSE_TIME: Duration = Duration::from_millis(1000);
+const SURVEY_TIMEOUT: Duration = Duration::from_millis(2000);
 /// Silent machines that are taken for cut off, as a number and as one part of so many.
-const PARTED: usize = 12;
-const PARTED_SHARE: usize = 6;
+const MIN_PARTITIONED_MACHINES: usize = 12;
+const PARTITIONED_FLEET_DIVISOR: usize = 6;
 
 use state::Survey;
 
@@ -36,7 +36,7 @@
     /// machines from a cut of the network, long before most of their reports are overdue.
     pub(super) fn survey(&mut self, env: &mut Env, ask: usize, silent: Silent, up: Silent) {
         let now = env.steady();
-        let due = self.survey.started_at.is_none_or(|t| now.duration_since(t) >= SURVEY_PERIOD);
+        let due = self.survey.started_at.is_none_or(|t| now.duration_since(t) >= SURVEY_INTERVAL);
         if ask == 0 {
             if due {
                 self.survey = Survey::default();
@@ -52,14 +52,14 @@
             sample.iter().for_each(|name| self.probe(env, name));
             (self.survey.started_at, self.survey.sample) = (Some(now), sample);
         }
-        if self.survey.started_at.is_some_and(|t| now.duration_since(t) >= SURVEY_ANSWERED) {
+        if self.survey.started_at.is_some_and(|t| now.duration_since(t) >= SURVEY_RESPONSE_TIME) {
             self.evaluate_sample(up);
         }
         let known = self.survey.unresponsive;
         let silent = Silent { all: silent.all.max(known.all), ordinary: silent.ordinary.max(known.ordinary) };
         // Spot machines alone are more likely taken back.
-        let many = |silent: usize, up: usize| silent * PARTED_SHARE > up;
-        let parted = silent.all >= PARTED
+        let many = |silent: usize, up: usize| silent * PARTITIONED_FLEET_DIVISOR > up;
+        let parted = silent.all >= MIN_PARTITIONED_MACHINES
             && many(silent.all, up.all)
             && (up.ordinary == 0 || many(silent.ordinary, up.ordinary));
         if parted {
@@ -68,7 +68,7 @@
                 tracing::info!(silent, of, "many machines are silent at once: waiting for their leases to end");
             }
             self.survey.partitioned_at = Some(now);
-        } else if self.survey.partitioned_at.is_some_and(|t| now.duration_since(t) >= SURVEY_PERIOD) {
+        } else if self.survey.partitioned_at.is_some_and(|t| now.duration_since(t) >= SURVEY_INTERVAL) {
             // Not before: when a cut ends, the last machines get their time to answer, too.
             self.survey.partitioned_at = None;
         }
@@ -89,7 +89,7 @@
     /// Whether answers of a sample are still to come: it may be this node that is out of reach.
     pub(super) fn survey_pending(&self, now: Instant) -> bool {
         let pending = |name| self.machines.get(name).is_some_and(|m: &Machine| m.direct_call.is_some());
-        self.survey.started_at.is_some_and(|at| now.duration_since(at) < SURVEY_LONGEST)
+        self.survey.started_at.is_some_and(|at| now.duration_since(at) < SURVEY_TIMEOUT)
             && self.survey.sample.iter().any(pending)
     }
 
@@ -114,7 +114,7 @@
     /// the cloud's list of those without tasks, and the kind of the others; and when many fall
     /// silent it may be this node's network. Each mistake would be a hundred machines.
     pub fn fleet_view_unreliable(&self, env: &Env) -> bool {
-        let asking = self.survey.started_at.is_some_and(|at| env.steady().duration_since(at) < SURVEY_ANSWERED);
+        let asking = self.survey.started_at.is_some_and(|at| env.steady().duration_since(at) < SURVEY_RESPONSE_TIME);
         (self.inherited && !self.renting.listed) || self.survey.most_unreachable || asking
     }
 
