--- a/crates/core/src/fleet/liveness.rs
+++ b/crates/core/src/fleet/liveness.rs
@@ -1,5 +1,4 @@
-//! Machines that fall silent: leases that have ended, machines that are given up, and a leader that
-//! finds itself cut off.
+//! Liveness checks: expired leases, machines that no longer respond, and a leader that is itself out of reach.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,53 +14,58 @@
 use crate::jobs::{Name, TaskKey};
 use crate::term::Term;
 
-/// Direct calls that an overdue machine may miss before it is given up.
+/// Number of failed direct calls after which an overdue machine may be released.
 const FAILED_PROBES_BEFORE_RELEASE: u32 = 2;
-/// A machine whose report is overdue gets this long to answer a direct call.
+/// Time that a machine with an overdue report has to respond to a direct call.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1200);
-/// A report that comes this much after its latest time is overdue.
+/// A report is overdue this long after its latest expected time.
 const OVERDUE_MARGIN: Duration = Duration::from_millis(300);
-/// A worker that reports to a node out of reach tries the next one after this time; a new
-/// leader that only its own calls reach waits until all could have found it.
+/// Time after which a worker that cannot reach a node tries the next one. A new leader that gets no
+/// reports, although its direct calls succeed, waits until all workers could have found it.
 const NODE_DISCOVERY_TIME: Duration = Duration::from_secs(5);
-/// Names of machines in one line.
+/// Most machine names in one log line.
 const MAX_NAMES_LOGGED: usize = 3;
 
-/// What a look at all machines found.
+/// Results of one check of all machines.
 #[derive(Default)]
 struct Findings {
-    /// Machines that are up, and how many of them
+    /// Number of machines that are up.
     up: usize,
-    /// have a report that is overdue,
+    /// Number of those whose report is overdue.
     overdue: usize,
-    /// were not heard of for longer than a call to them takes,
+    /// Number of those whose report has been overdue for longer than a direct call takes.
     unheard: usize,
-    /// have failed calls and never showed the token,
+    /// Number of those that have not shown this leader's token and had failed probes.
     never_reached: usize,
-    /// have failed calls and are not being returned.
+    /// Number of those that had failed probes and are not being released.
     failing_calls: usize,
-    /// Some do not answer calls, whatever they report.
+    /// Whether any machine, not being released, does not respond to direct calls, whatever it reports.
     any_call_failed: bool,
-    /// Machines to be called, whose lease has ended, that sent no report, and that may be given up.
+    /// Machines to be called directly.
     calls_due: Vec<Name>,
+    /// Machines whose lease has expired.
     leases_expired: Vec<Name>,
+    /// Machines that have not reported in time.
     reports_missing: Vec<Name>,
+    /// Machines that may be released.
     unresponsive: Vec<Name>,
+    /// Number of machines that are up, for the survey.
     total: Silent,
+    /// Number of those with an overdue report or that were never reached, for the survey.
     overdue_or_unreached: Silent,
-    /// What is seen of each zone, if zones are judged.
+    /// State of each zone, if zone failover is switched on.
     zones: BTreeMap<String, ZoneView>,
 }
 
 impl Findings {
-    /// Whether so many are most of those that are up.
+    /// Whether this number is at least four fifths of the machines that are up.
     fn is_most(&self, count: usize) -> bool {
         self.up >= 3 && count * 5 >= self.up * 4
     }
 }
 
 impl Term {
-    /// A few times a second: leases that have ended, machines that fell silent.
+    /// Detects expired leases and unresponsive machines; called a few times a second.
     pub fn check_liveness(&mut self, env: &mut Env) {
         let now = env.steady();
         let mut findings = self.collect_findings(env);
@@ -69,138 +73,157 @@
         for name in std::mem::take(&mut findings.leases_expired) {
             self.handle_expired_lease(env, &name);
         }
-        let alone = now.duration_since(self.visited) > overdue_threshold(env) + PROBE_TIMEOUT;
-        self.assess_own_reachability(env, &mut findings, alone);
-        // Most silent at once: more likely the network, or this node, than the machines.
-        // Returning them would kill what still runs.
-        let many = findings.overdue > 2 && findings.overdue * 2 > findings.up;
-        let spared = many || self.survey.most_unreachable || self.survey_pending(now);
-        // Without a worker of its own a leader asks some others as soon as one does not answer.
-        let asked = match findings.failing_calls >= MIN_FAILING_FOR_SURVEY {
+        let no_direct_reports = now.duration_since(self.visited) > overdue_threshold(env) + PROBE_TIMEOUT;
+        self.assess_own_reachability(env, &mut findings, no_direct_reports);
+        // If most machines are unresponsive at once, the cause is more likely the network, or this
+        // node, than the machines. Releasing them would kill the tasks that still run.
+        let most_overdue = findings.overdue > 2 && findings.overdue * 2 > findings.up;
+        let keep_machines = most_overdue || self.survey.most_unreachable || self.survey_pending(now);
+        // A leader to which no worker reports directly probes some machines as soon as one fails to respond.
+        let sample_size = match findings.failing_calls >= MIN_FAILING_FOR_SURVEY {
             true => SURVEY_SAMPLE_SIZE,
-            false => usize::from(alone && findings.any_call_failed) * ISOLATED_SAMPLE_SIZE,
+            false => usize::from(no_direct_reports && findings.any_call_failed) * ISOLATED_SAMPLE_SIZE,
         };
-        self.survey(env, asked, findings.overdue_or_unreached, findings.total);
-        let settling = now.duration_since(self.since) < report_fencing_window(env.facts.report) + PROBE_TIMEOUT * 2;
-        self.judge_zones(env, std::mem::take(&mut findings.zones), settling);
-        if !spared {
+        self.survey(env, sample_size, findings.overdue_or_unreached, findings.total);
+        let taking_over = now.duration_since(self.since) < report_fencing_window(env.facts.report) + PROBE_TIMEOUT * 2;
+        self.judge_zones(env, std::mem::take(&mut findings.zones), taking_over);
+        if !keep_machines {
             findings.unresponsive.iter().for_each(|name| self.release_unresponsive(env, name));
         }
         self.probe_suspects(env);
         self.log_stops(env);
     }
 
+    /// Checks all machines, marks those with overdue reports as suspect, and ends outdated reservations.
     fn collect_findings(&mut self, env: &Env) -> Findings {
         let now = env.steady();
-        let late = overdue_threshold(env);
-        let give_up = env.facts.report.mul_f64(env.policy.silent_reports);
-        let fence_all = now.duration_since(self.since) >= report_fencing_window(env.facts.report);
+        let overdue_after = overdue_threshold(env);
+        let release_after = env.facts.report.mul_f64(env.policy.silent_reports);
+        let fence_all_directly = now.duration_since(self.since) >= report_fencing_window(env.facts.report);
         let leases = self.lease_bounds(env);
-        let judged = self.failover.is_some();
-        let find_after = NODE_DISCOVERY_TIME * env.facts.others.len() as u32;
+        let zone_failover = self.failover.is_some();
+        let max_discovery_time = NODE_DISCOVERY_TIME * env.facts.others.len() as u32;
         let mut findings = Findings::default();
         for machine in self.machines.values_mut().filter(|m| m.up) {
             findings.up += 1;
             findings.total.note(machine.spot);
-            if machine.reservation.as_ref().is_some_and(|claim| claim.until <= now) {
+            if machine.reservation.as_ref().is_some_and(|reservation| reservation.until <= now) {
                 machine.reservation = None;
             }
-            let quiet = now.duration_since(machine.last_heard);
-            let unreached = machine.fenced.is_none() && machine.failed_probes > 0;
-            findings.overdue += usize::from(quiet > late);
-            findings.unheard += usize::from(quiet > late + PROBE_TIMEOUT);
-            findings.never_reached += usize::from(unreached);
+            let unheard_for = now.duration_since(machine.last_heard);
+            let never_reached = machine.fenced.is_none() && machine.failed_probes > 0;
+            findings.overdue += usize::from(unheard_for > overdue_after);
+            findings.unheard += usize::from(unheard_for > overdue_after + PROBE_TIMEOUT);
+            findings.never_reached += usize::from(never_reached);
             findings.failing_calls += usize::from(machine.failed_probes > 0 && !machine.releasing);
             findings.any_call_failed |= machine.failed_calls > 0 && !machine.releasing;
-            if quiet > late || unreached {
+            if unheard_for > overdue_after || never_reached {
                 findings.overdue_or_unreached.note(machine.spot);
             }
-            // One that never reported here may still look for this node.
-            let looking = if machine.last_response.is_some() { Duration::ZERO } else { find_after };
-            if now.duration_since(machine.last_reported) > late + PROBE_TIMEOUT + looking {
+            // A worker that never reported here may still be looking for this node.
+            let discovery_time = if machine.last_response.is_some() { Duration::ZERO } else { max_discovery_time };
+            if now.duration_since(machine.last_reported) > overdue_after + PROBE_TIMEOUT + discovery_time {
                 findings.reports_missing.push(machine.name.clone());
             }
-            if machine.direct_call.is_none() && machine.next_call_at.is_none_or(|t| t <= now) {
-                let unfenced = machine.fenced.is_none() && (fence_all || machine.hosts_service());
-                if std::mem::take(&mut machine.call_postponed) || unfenced || machine.failed_calls > 0 {
+            if machine.direct_call.is_none() && machine.next_call_at.is_none_or(|at| at <= now) {
+                let needs_fencing = machine.fenced.is_none() && (fence_all_directly || machine.hosts_service());
+                if std::mem::take(&mut machine.call_postponed) || needs_fencing || machine.failed_calls > 0 {
                     findings.calls_due.push(machine.name.clone());
                 }
             }
-            if quiet > late && !machine.suspect {
+            if unheard_for > overdue_after && !machine.suspect {
                 machine.suspect = true;
                 machine.failed_probes = 0;
                 machine.next_call_at = None;
                 tracing::debug!(machine = &*machine.name, "its report is overdue");
             }
-            if now > leases.expires_at(machine) && quiet > env.facts.lease && !machine.tasks.is_empty() {
+            if now > leases.expires_at(machine) && unheard_for > env.facts.lease && !machine.tasks.is_empty() {
                 findings.leases_expired.push(machine.name.clone());
             }
-            if is_unresponsive(machine, quiet, late, give_up) {
+            if is_unresponsive(machine, unheard_for, overdue_after, release_after) {
                 findings.unresponsive.push(machine.name.clone());
             }
-            if judged && machine.release_sent.is_none() {
+            if zone_failover && machine.release_sent.is_none() {
                 let in_time = machine.lease_recently_renewed(now, env.facts.report) && !machine.suspect;
-                note_machine(findings.zones.entry(machine.zone.clone()).or_default(), machine, quiet > late, in_time);
+                note_machine(
+                    findings.zones.entry(machine.zone.clone()).or_default(),
+                    machine,
+                    unheard_for > overdue_after,
+                    in_time,
+                );
             }
         }
         findings
     }
 
-    /// A leader that the workers cannot reach keeps them from one that they could, until
-    /// their leases end. After a takeover they take a while to find it.
-    fn assess_own_reachability(&mut self, env: &Env, findings: &mut Findings, alone: bool) {
-        let since = env.steady().duration_since(self.since);
-        let settled = since > NODE_DISCOVERY_TIME * env.facts.others.len() as u32 + overdue_threshold(env);
-        let unreporting = std::mem::take(&mut findings.reports_missing);
-        // Reports that other nodes hand on arrive all the same, but no call of ours does.
-        let calls_lost = alone && self.survey.most_unreachable && !findings.is_most(findings.unheard);
-        let most_unreporting = findings.is_most(unreporting.len());
+    /// Determines whether this leader is out of reach of its workers, and marks machines whose
+    /// reports are missing. A leader that the workers cannot reach should make way for one that
+    /// they can reach, before their leases expire. After a takeover they need a while to find it.
+    fn assess_own_reachability(&mut self, env: &Env, findings: &mut Findings, no_direct_reports: bool) {
+        let leading_for = env.steady().duration_since(self.since);
+        let settled = leading_for > NODE_DISCOVERY_TIME * env.facts.others.len() as u32 + overdue_threshold(env);
+        let not_reporting = std::mem::take(&mut findings.reports_missing);
+        // Reports relayed by other nodes still arrive, but none of this leader's direct calls succeeds.
+        let calls_lost = no_direct_reports && self.survey.most_unreachable && !findings.is_most(findings.unheard);
+        let most_not_reporting = findings.is_most(not_reporting.len());
         self.cut_off = findings.is_most(findings.never_reached)
             || calls_lost
-            || most_unreporting && (findings.is_most(findings.unheard) || settled);
-        // Reports of most machines missing, or just after a takeover: they look for this node.
-        if !settled || most_unreporting {
+            || most_not_reporting && (findings.is_most(findings.unheard) || settled);
+        // Just after a takeover, or if the reports of most machines are missing, workers are looking for this node.
+        if !settled || most_not_reporting {
             return;
         }
-        let mut found = Vec::new();
-        for name in unreporting {
+        let mut newly_missing = Vec::new();
+        for name in not_reporting {
             let machine = self.machines.get_mut(&name).expect("listed");
             if !std::mem::replace(&mut machine.reports_missing, true) && !machine.suspect {
-                found.push(name);
+                newly_missing.push(name);
             }
         }
-        // While reports are refused no machine is heard, and their leases will end: no work for them, and no line.
-        if !found.is_empty() && !self.refuses_reports {
-            let first = first_names(&found);
-            tracing::info!(machines = found.len(), first, "answer calls, but do not report; get no work");
+        // While this leader refuses reports none is accepted and the leases will expire. The machines get no work,
+        // but a log line for each would only repeat the refusal.
+        if !newly_missing.is_empty() && !self.refuses_reports {
+            let first = first_names(&newly_missing);
+            tracing::info!(
+                machines = newly_missing.len(),
+                first,
+                "respond to direct calls but do not report; they get no work"
+            );
         }
     }
 
-    /// Returns a silent machine, unless it is one of a good part of a large fleet: their tasks run on
-    /// until their leases end, and other machines are made ready for them meanwhile.
+    /// Releases an unresponsive machine, unless a large part of the fleet is partitioned together with it: the tasks
+    /// there run on until the leases expire, and other machines are prepared for them meanwhile.
     fn release_unresponsive(&mut self, env: &Env, name: &Name) {
         let now = env.steady();
         let machine = &self.machines[name];
-        let spared_until = self.likely_lease_end(env, machine);
-        let cut_off = self.is_partitioned(machine) && now < spared_until;
-        if cut_off || self.kept_with_zone(now, machine, spared_until) {
+        let lease_end = self.likely_lease_end(env, machine);
+        let partitioned = self.is_partitioned(machine) && now < lease_end;
+        if partitioned || self.kept_with_zone(now, machine, lease_end) {
             return;
         }
         let machine = self.machines.get_mut(name).expect("listed");
-        let (tasks, quiet) = (machine.tasks.len(), now.duration_since(machine.last_heard));
-        let (spot, failed) = (machine.spot, machine.failed_probes);
-        tracing::info!(machine = &**name, tasks, spot, failed, quiet_s = quiet.as_secs(), "silent; given up");
+        let (tasks, unheard_for) = (machine.tasks.len(), now.duration_since(machine.last_heard));
+        let (spot, failed_probes) = (machine.spot, machine.failed_probes);
+        tracing::info!(
+            machine = &**name,
+            tasks,
+            spot,
+            failed = failed_probes,
+            quiet_s = unheard_for.as_secs(),
+            "unresponsive; releasing it"
+        );
         machine.releasing = true;
     }
 
-    /// Calls machines whose reports are overdue, those that must stop tasks first.
+    /// Probes machines whose reports are overdue, in the order of their call reasons.
     fn probe_suspects(&mut self, env: &mut Env) {
         let now = env.steady();
         let suspects = self
             .machines
             .values()
             .filter(|m| m.suspect && m.direct_call.is_none() && !m.addr.is_empty())
-            .filter(|m| m.next_call_at.is_none_or(|t| t <= now));
+            .filter(|m| m.next_call_at.is_none_or(|at| at <= now));
         let mut probes: Vec<(CallReason, &Name)> = suspects.map(|m| (m.call_reason(), &m.name)).collect();
         probes.sort_unstable();
         probes.truncate(self.free_calls(env));
@@ -210,16 +233,17 @@
         }
     }
 
+    /// Ends the placements on a machine whose lease has expired, except those that must wait for a report.
     fn handle_expired_lease(&mut self, env: &mut Env, name: &Name) {
         let now = env.steady();
         let machine = &self.machines[name];
         let (waiting, lost): (Vec<TaskKey>, Vec<TaskKey>) =
             machine.tasks.iter().cloned().partition(|key| self.waits_for_word(key, &machine.zone));
-        let noted = machine.expired_session == Some(machine.session);
-        if lost.is_empty() && noted {
+        let already_noted = machine.expired_session == Some(machine.session);
+        if lost.is_empty() && already_noted {
             return;
         }
-        tracing::info!(machine = &**name, tasks = lost.len(), waiting = waiting.len(), "its lease has ended");
+        tracing::info!(machine = &**name, tasks = lost.len(), waiting = waiting.len(), "its lease has expired");
         let machine = self.machines.get_mut(name).expect("listed");
         machine.expired_session = Some(machine.session);
         machine.unresolved_starts.clear();
@@ -230,7 +254,7 @@
         }
     }
 
-    /// What bounds the leases of all workers now.
+    /// Returns the present bounds on the leases of all workers.
     pub(super) fn lease_bounds(&self, env: &Env) -> LeaseBounds {
         LeaseBounds {
             previous_leaders_end: self.old_silent,
@@ -240,22 +264,22 @@
     }
 }
 
-/// How long after the last report the next one is overdue.
+/// Time after the last report from which the next one is overdue.
 fn overdue_threshold(env: &Env) -> Duration {
     env.facts.report.mul_f64(LATEST_REPORT_FACTOR) + OVERDUE_MARGIN
 }
 
-/// Whether a machine has been quiet for so long, with failed calls, that it may be given up.
-fn is_unresponsive(machine: &Machine, quiet: Duration, late: Duration, give_up: Duration) -> bool {
-    // One that a new leader never reached has no report that could be overdue.
-    let waited = if machine.fenced.is_some() { late + PROBE_TIMEOUT } else { PROBE_TIMEOUT * 2 };
-    let gone = machine.failed_probes >= FAILED_PROBES_BEFORE_RELEASE && quiet > waited;
-    // One that was not called yet, since calls are few, may live.
+/// Whether a machine has been unheard for so long, with failed direct calls, that it may be released.
+fn is_unresponsive(machine: &Machine, unheard_for: Duration, overdue_after: Duration, release_after: Duration) -> bool {
+    // A machine that a new leader never reached has no report that could be overdue.
+    let min_silence = if machine.fenced.is_some() { overdue_after + PROBE_TIMEOUT } else { PROBE_TIMEOUT * 2 };
+    let probes_exhausted = machine.failed_probes >= FAILED_PROBES_BEFORE_RELEASE && unheard_for > min_silence;
+    // Direct calls are limited, so a machine that has not been called yet may be alive.
     let called = machine.failed_probes > 0 || machine.addr.is_empty();
-    (gone || called && quiet > give_up) && !machine.releasing
+    (probes_exhausted || called && unheard_for > release_after) && !machine.releasing
 }
 
-/// The first few of many names, for one line.
+/// Returns the first few names, separated by commas, for a log line.
 fn first_names(names: &[Name]) -> String {
     names.iter().take(MAX_NAMES_LOGGED).map(|name| &**name).collect::<Vec<_>>().join(",")
 }
--- a/crates/core/src/fleet/machine.rs
+++ b/crates/core/src/fleet/machine.rs
@@ -63,7 +63,7 @@
     pub(super) responses_lost: bool,
     /// It reported without being expected, and has not yet shown this leader's token.
     pub(super) unverified: bool,
-    /// Digest of the tasks in the last report, unless a later message told more about the tasks.
+    /// Digest of the tasks in the last report, unless a later message has updated them.
     pub(super) tasks_digest: Option<u64>,
     /// Whether there may be orders to send; otherwise its tasks are as intended.
     pub(super) orders_due: bool,
@@ -140,7 +140,7 @@
 }
 
 impl Machine {
-    /// Returns a machine of which nothing but the name is known.
+    /// Returns a machine that is known only by name.
     pub(super) fn new(name: Name, now: Instant) -> Machine {
         Machine {
             name,
--- a/crates/core/src/fleet/reports.rs
+++ b/crates/core/src/fleet/reports.rs
@@ -156,7 +156,12 @@
     pub(super) fn apply_report(&mut self, env: &mut Env, name: &Name, report: &Report, channel: Channel) -> bool {
         let now = env.steady();
         let machine = self.machines.entry(name.clone()).or_insert_with(|| {
-            tracing::info!(machine = &**name, spot = report.spot, zone = report.zone, "an unexpected machine reports");
+            tracing::info!(
+                machine = &**name,
+                spot = report.spot,
+                zone = report.zone,
+                "an unexpected machine has reported"
+            );
             Machine { unverified: true, ..Machine::new(name.clone(), now) }
         });
         if (report.session, report.seq) <= (machine.session, machine.seq) {
--- a/crates/core/src/fleet/survey.rs
+++ b/crates/core/src/fleet/survey.rs
@@ -1,9 +1,9 @@
-//! Tells the end of a few machines from a cut of the network when some fall silent, by asking
-//! a sample of the others.
+//! Distinguishes the failure of a few machines from a network partition, by probing a sample of
+//! the other machines when some stop responding.
 //!
-//! Guards against giving up, within seconds, a third of a fleet whose work runs on until its
-//! leases end, and against renting by what a leader does not know. Nothing here proves a place
-//! empty: it only says how long to wait before a machine is returned.
+//! Keeps the leader from releasing, within seconds, a third of a fleet whose tasks run on until
+//! the leases expire, and from renting machines on the basis of an incomplete view. Nothing here
+//! proves that a placement is over: it only determines how long to wait before a machine is released.
 
 pub(crate) mod state;
 
@@ -17,64 +17,75 @@
 use crate::jobs::Name;
 use crate::term::Term;
 
-/// Machines that must fail to answer for a survey, the machines that it asks, those that a leader
-/// without workers of its own asks, how often it is made, and when its answers are in.
+/// Number of machines with failed direct calls from which a survey is made.
 pub(super) const MIN_FAILING_FOR_SURVEY: usize = 3;
+/// Number of machines that a survey probes.
 pub(super) const SURVEY_SAMPLE_SIZE: usize = 48;
+/// Number of machines that a survey probes for a leader to which no worker reports directly.
 pub(super) const ISOLATED_SAMPLE_SIZE: usize = 8;
+/// Time between surveys.
 const SURVEY_INTERVAL: Duration = Duration::from_secs(5);
+/// Time after which the responses of a survey are evaluated.
 const SURVEY_RESPONSE_TIME: Duration = Duration::from_millis(1000);
+/// Time after which outstanding responses of a survey are no longer waited for.
 const SURVEY_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Silent machines that are taken for cut off, as a number and as one part of so many.
+/// Least number of unresponsive machines that counts as a partition.
 const MIN_PARTITIONED_MACHINES: usize = 12;
+/// Unresponsive machines count as a partition if they exceed the fleet's size divided by this.
 const PARTITIONED_FLEET_DIVISOR: usize = 6;
 
 use state::Survey;
 
 impl Term {
-    /// Some machines fail to answer: asks a sample of the others, to tell the end of a few
-    /// machines from a cut of the network, long before most of their reports are overdue.
-    pub(super) fn survey(&mut self, env: &mut Env, ask: usize, silent: Silent, up: Silent) {
+    /// Probes a sample of machines when some do not respond, and evaluates the responses. This
+    /// distinguishes the failure of a few machines from a network partition long before most
+    /// reports are overdue. A `sample_size` of zero means that no survey is needed.
+    pub(super) fn survey(&mut self, env: &mut Env, sample_size: usize, unresponsive: Silent, up: Silent) {
         let now = env.steady();
-        let due = self.survey.started_at.is_none_or(|t| now.duration_since(t) >= SURVEY_INTERVAL);
-        if ask == 0 {
+        let due = self.survey.started_at.is_none_or(|at| now.duration_since(at) >= SURVEY_INTERVAL);
+        if sample_size == 0 {
             if due {
                 self.survey = Survey::default();
             }
             return;
         }
         if due {
-            let free =
+            let can_be_probed =
                 |m: &&Machine| m.up && !m.releasing && !m.unverified && m.direct_call.is_none() && !m.addr.is_empty();
-            let others: Vec<Name> = self.machines.values().filter(free).map(|m| m.name.clone()).collect();
-            let most = ask.min(self.free_calls(env));
-            let sample: Vec<Name> = others.into_iter().sample(&mut env.rng, most);
+            let others: Vec<Name> = self.machines.values().filter(can_be_probed).map(|m| m.name.clone()).collect();
+            let sample_size = sample_size.min(self.free_calls(env));
+            let sample: Vec<Name> = others.into_iter().sample(&mut env.rng, sample_size);
             sample.iter().for_each(|name| self.probe(env, name));
             (self.survey.started_at, self.survey.sample) = (Some(now), sample);
         }
-        if self.survey.started_at.is_some_and(|t| now.duration_since(t) >= SURVEY_RESPONSE_TIME) {
+        if self.survey.started_at.is_some_and(|at| now.duration_since(at) >= SURVEY_RESPONSE_TIME) {
             self.evaluate_sample(up);
         }
-        let known = self.survey.unresponsive;
-        let silent = Silent { all: silent.all.max(known.all), ordinary: silent.ordinary.max(known.ordinary) };
-        // Spot machines alone are more likely taken back.
-        let many = |silent: usize, up: usize| silent * PARTITIONED_FLEET_DIVISOR > up;
-        let parted = silent.all >= MIN_PARTITIONED_MACHINES
-            && many(silent.all, up.all)
-            && (up.ordinary == 0 || many(silent.ordinary, up.ordinary));
-        if parted {
+        let sampled = self.survey.unresponsive;
+        let unresponsive =
+            Silent { all: unresponsive.all.max(sampled.all), ordinary: unresponsive.ordinary.max(sampled.ordinary) };
+        // If only spot machines are unresponsive, the cloud has more likely reclaimed them.
+        let is_large_share = |unresponsive: usize, up: usize| unresponsive * PARTITIONED_FLEET_DIVISOR > up;
+        let partitioned = unresponsive.all >= MIN_PARTITIONED_MACHINES
+            && is_large_share(unresponsive.all, up.all)
+            && (up.ordinary == 0 || is_large_share(unresponsive.ordinary, up.ordinary));
+        if partitioned {
             if self.survey.partitioned_at.is_none() {
-                let (silent, of) = (silent.all, up.all);
-                tracing::info!(silent, of, "many machines are silent at once: waiting for their leases to end");
+                let (silent, of) = (unresponsive.all, up.all);
+                tracing::info!(
+                    silent,
+                    of,
+                    "many machines are unresponsive at once: waiting for their leases to expire"
+                );
             }
             self.survey.partitioned_at = Some(now);
-        } else if self.survey.partitioned_at.is_some_and(|t| now.duration_since(t) >= SURVEY_INTERVAL) {
-            // Not before: when a cut ends, the last machines get their time to answer, too.
+        } else if self.survey.partitioned_at.is_some_and(|at| now.duration_since(at) >= SURVEY_INTERVAL) {
+            // The delay gives the last machines time to respond when a partition ends.
             self.survey.partitioned_at = None;
         }
     }
 
-    /// What the sample shows, now that its answers are in.
+    /// Evaluates the responses of the sample.
     fn evaluate_sample(&mut self, up: Silent) {
         let mut sample = SurveySample::default();
         for machine in self.survey.sample.iter().filter_map(|name| self.machines.get(name)) {
@@ -82,25 +93,25 @@
         }
         self.survey.unreachable_zones = sample.cut_zones();
         self.survey.unresponsive = sample.silent_of(up);
-        // Be they heard or not: other nodes may hand their reports on.
+        // This counts failed direct calls even if the machines' reports arrive, which other nodes may relay.
         self.survey.most_unreachable = sample.most_are_mute();
     }
 
-    /// Whether answers of a sample are still to come: it may be this node that is out of reach.
+    /// Whether responses of the sample are outstanding; until then this node itself may be out of reach.
     pub(super) fn survey_pending(&self, now: Instant) -> bool {
         let pending = |name| self.machines.get(name).is_some_and(|m: &Machine| m.direct_call.is_some());
         self.survey.started_at.is_some_and(|at| now.duration_since(at) < SURVEY_TIMEOUT)
             && self.survey.sample.iter().any(pending)
     }
 
-    /// Whether a silent machine is likely cut off, with many others, and not dead.
+    /// Whether an unresponsive machine is likely partitioned together with many others, rather than dead.
     pub fn is_partitioned(&self, machine: &Machine) -> bool {
         machine.failed_probes > 0 && (self.survey.partitioned_at.is_some() || self.zone_is_cut(&machine.zone))
     }
 
-    /// When the lease of a machine that is cut off has likely ended. An earlier leader that is
-    /// cut off with it may go on answering it; one that is known to be silent fell before its
-    /// key did.
+    /// Returns when the lease of a partitioned machine has likely expired. An earlier leader in the
+    /// same partition may still respond to its worker. If all earlier leaders are known to have
+    /// stopped, the last one did so before its leader key expired.
     pub(super) fn likely_lease_end(&self, env: &Env, machine: &Machine) -> Instant {
         let lease = env.facts.lease;
         match machine.fenced {
@@ -110,15 +121,17 @@
         }
     }
 
-    /// Whether what is known of the machines is too little to rent by: a new leader learns from
-    /// the cloud's list of those without tasks, and the kind of the others; and when many fall
-    /// silent it may be this node's network. Each mistake would be a hundred machines.
+    /// Whether too little is known of the machines to decide on renting more. A new leader learns of
+    /// machines without tasks, and of the types of the others, only from the cloud's list; and when
+    /// many machines are unresponsive the cause may be this node's network. A wrong decision here
+    /// could rent a hundred machines.
     pub fn fleet_view_unreliable(&self, env: &Env) -> bool {
-        let asking = self.survey.started_at.is_some_and(|at| env.steady().duration_since(at) < SURVEY_RESPONSE_TIME);
-        (self.inherited && !self.renting.listed) || self.survey.most_unreachable || asking
+        let survey_running =
+            self.survey.started_at.is_some_and(|at| env.steady().duration_since(at) < SURVEY_RESPONSE_TIME);
+        (self.inherited && !self.renting.listed) || self.survey.most_unreachable || survey_running
     }
 
-    /// Whether many machines are silent or a sample is asked: no time to move work.
+    /// Whether a survey is in progress or many machines are unresponsive, so that no tasks should be moved.
     pub fn survey_active(&self) -> bool {
         self.survey.started_at.is_some() || self.survey.partitioned_at.is_some()
     }
--- a/crates/core/src/fleet/survey/state.rs
+++ b/crates/core/src/fleet/survey/state.rs
@@ -1,4 +1,4 @@
-//! What a leader holds of its surveys.
+//! The leader's state of its surveys.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -7,22 +7,25 @@
 
 use crate::jobs::Name;
 
-/// What a sample of the machines told when some fell silent.
+/// The latest survey, a sample of machines that was probed when some stopped responding, and its results.
 #[derive(Default)]
 pub(crate) struct Survey {
+    /// When the sample was probed.
     pub(super) started_at: Option<Instant>,
+    /// Machines in the sample.
     pub(super) sample: Vec<Name>,
-    /// Machines that seem to be out of reach, and the ordinary ones among them.
+    /// Number of machines in the fleet that are out of reach, as estimated from the sample.
     pub(super) unresponsive: Silent,
+    /// Zones in which most of the sampled machines did not respond.
     pub(super) unreachable_zones: BTreeSet<String>,
-    /// Most are out of reach: this node is, rather than they.
+    /// Most machines did not respond, so that likely this node is out of reach rather than they.
     pub(in crate::fleet) most_unreachable: bool,
-    /// When they were last so many that a cut of the network is more likely than their end.
+    /// When so many machines were last unresponsive that a partition is more likely than their failure.
     pub(super) partitioned_at: Option<Instant>,
 }
 
 impl Survey {
-    /// Zones of which most of the sample did not answer.
+    /// Returns the zones in which most of the sampled machines did not respond.
     pub fn unreachable_zones(&self) -> &BTreeSet<String> {
         &self.unreachable_zones
     }
