--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -1,4 +1,5 @@
-//! Why calls are made: a call's purpose is kept until its outcome, which then finds its way.
+//! The purposes of calls to other systems. The purpose of a call is kept until its outcome arrives, and determines how
+//! the outcome is handled.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,24 +11,35 @@
 use crate::io::{Answer, Req};
 use crate::jobs::{Name, TaskKey};
 
-/// Why a call was made, so that its outcome finds its way.
+/// Why a call was made.
 #[derive(Clone, Debug)]
 pub(crate) enum Purpose {
+    /// Calls that concern leadership.
     Election(ElectionCall),
+    /// Calls for a user's request.
     User(UserCall),
+    /// Loading the records of earlier leaders.
     Load(LoadCall),
+    /// Writing records, or resolving a write with an unknown outcome.
     Record(RecordCall),
+    /// Renting and releasing machines.
     Rent(RentCall),
+    /// A direct call to the worker on a machine.
     Order { machine: Name },
+    /// The cloud's list of machine types.
     Types,
+    /// Reading the record of machine types.
     ReadTypes,
+    /// Writing the record of machine types.
     WriteTypes,
+    /// Checks whether the state service responds again.
     Probe,
+    /// Reports relayed to the leader.
     Relay,
 }
 
 impl Purpose {
-    /// Whether the outcome concerns the present term only.
+    /// Whether the outcome only matters in the term in which the call was made.
     pub fn belongs_to_term(&self) -> bool {
         matches!(self, Purpose::Load(_) | Purpose::Record(_) | Purpose::Rent(_) | Purpose::Order { .. })
     }
@@ -36,61 +48,83 @@
 /// Calls to the state service that concern leadership.
 #[derive(Clone, Debug)]
 pub(crate) enum ElectionCall {
+    /// Reads the leader key.
     Read,
+    /// Watches the leader key.
     Watch,
+    /// Deletes a leader key that an earlier incarnation of this node wrote.
     DeleteOwnKey,
+    /// Creates the lease of a candidate.
     Lease { sent: Instant },
+    /// Writes the leader key.
     Claim { lease: u64, sent: Instant },
+    /// Renews the leader's lease.
     RenewLease { sent: Instant },
+    /// Ends the lease of a leader or candidate that gives up.
     EndLease,
 }
 
-/// Reads of the records, and the watch on jobs.
+/// Calls that read the records, and the watch on jobs.
 #[derive(Clone, Debug)]
 pub(crate) enum LoadCall {
+    /// Reads the jobs.
     Jobs,
+    /// Reads the segments of the log.
     Segments,
+    /// Reads the pages of tasks.
     Pages,
+    /// Reads the open moves.
     OpenMoves,
+    /// Reads the record of zones.
     Failover,
-    Watch {
-        sent: Instant,
-    },
-    /// The record of a job that others await.
+    /// Watches the jobs' records for changes.
+    Watch { sent: Instant },
+    /// Reads the record of a job on which others depend.
     Dependency(Name),
 }
 
-/// What one transaction of the records writes.
+/// The contents of one transaction that writes records.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Batch {
-    /// Tasks, and the attempt of those that have a place.
+    /// Tasks, each with its attempt if it is placed.
     pub tasks: Vec<(TaskKey, Option<u64>)>,
-    /// Whether the last segment is written, and whether with new places.
+    /// Whether the last segment of the log is written.
     pub segment: bool,
+    /// Whether that segment contains new placements.
     pub new_placements: bool,
+    /// Pages of tasks, by job and page number.
     pub pages: Vec<(Name, u32)>,
-    /// Values of the record of open moves, and the moves that wait for them, with their attempts.
+    /// Numbers of the values of the record of open moves.
     pub moves: Vec<usize>,
+    /// Tasks and attempts of the moves that wait for those values to be durable.
     pub waiting_moves: Vec<(TaskKey, u64)>,
     /// Whether the record of zones is written.
     pub failover: bool,
+    /// Jobs whose end is recorded.
     pub closed_jobs: Vec<Name>,
+    /// Keys that are deleted.
     pub deleted_keys: Vec<String>,
 }
 
-/// Calls of the records.
+/// Calls that write records, or read them back after a write with an unknown outcome.
 #[derive(Clone, Debug)]
 pub(crate) enum RecordCall {
+    /// Writes a batch.
     Write(Batch),
+    /// Reads the last segment of the log.
     ReadSegment,
+    /// Reads a job's record.
     ReadJob(Name),
 }
 
 /// Calls to the cloud.
 #[derive(Clone, Debug)]
 pub(crate) enum RentCall {
+    /// Rents machines.
     Rent(Rental),
+    /// Releases machines.
     Release(Vec<Name>),
+    /// Lists the rented machines.
     List,
 }
 
@@ -98,48 +132,29 @@
 #[derive(Clone, Debug)]
 pub(crate) enum UserCall {
     /// Compares the versions of cached records.
-    Compare {
-        jobs: Vec<String>,
-    },
-    /// Reads a job's record for those who asked about it.
-    Read {
-        job: String,
-        requests: Vec<Req>,
-    },
-    /// Reads the record of a job that others need, for a group of lookups.
-    Refresh {
-        job: String,
-        group: u64,
-    },
-    /// Whether jobs that a submission awaits were accepted.
-    Dependencies {
-        admission: Admission,
-        queried: Vec<String>,
-    },
+    Compare { jobs: Vec<String> },
+    /// Reads a job's record for the requests that ask about it.
+    Read { job: String, requests: Vec<Req> },
+    /// Reads the record of a job on which others depend, for a group of lookups.
+    Refresh { job: String, group: u64 },
+    /// Checks whether the dependencies of a submission were accepted.
+    Dependencies { admission: Admission, queried: Vec<String> },
+    /// Creates the records of a job.
     Create(Creation),
-    /// Before a refusal: an accepted job is never refused.
-    Refuse {
-        request: Req,
-        job: String,
-        answer: Answer,
-    },
-    CancelRead {
-        request: Req,
-        job: String,
-    },
-    CancelWrite {
-        request: Req,
-        job: String,
-        tasks: u32,
-    },
+    /// Reads a job's record before a submission is refused, since an accepted job must never be refused.
+    Refuse { request: Req, job: String, answer: Answer },
+    /// Reads the record of a job that is to be cancelled.
+    CancelRead { request: Req, job: String },
+    /// Records the cancellation of a job.
+    CancelWrite { request: Req, job: String, tasks: u32 },
 }
 
-/// A submission of which some dependencies are not yet known to have been accepted.
+/// A submission with dependencies that are not yet known to have been accepted.
 #[derive(Clone, Debug)]
 pub(crate) struct Admission {
     pub request: Req,
     pub spec: Box<JobSpec>,
-    /// Dependencies whose records were seen to exist, and may not be in the cache.
+    /// Dependencies whose records are known to exist, but may be missing from the cache.
     pub accepted: BTreeSet<String>,
 }
 
@@ -148,6 +163,8 @@
 pub(crate) struct Creation {
     pub request: Req,
     pub job: String,
+    /// Number of tasks.
     pub tasks: u32,
+    /// Jobs that must be done first.
     pub dependencies: Arc<[String]>,
 }
--- a/crates/core/src/fleet/stop_statistics.rs
+++ b/crates/core/src/fleet/stop_statistics.rs
@@ -1,7 +1,8 @@
-//! Stops of tasks of cancelled jobs, counted: what was sent, answered and lost, and what still awaits its effect.
+//! Counts the stops of tasks of cancelled jobs: how many were sent, responded to and lost, and how many tasks are still
+//! to end.
 //!
-//! Nothing here decides anything. It lets one who reads the log follow a cancellation from the moment at which this
-//! leader heard of it to the last of its tasks, in a line a second at the most.
+//! Used only for logging: the lines, at most one a second, show the progress of a cancellation from the moment at which
+//! this leader learns of it until its last task has ended.
 
 use std::collections::BTreeMap;
 use std::collections::btree_map::Entry;
@@ -13,10 +14,10 @@
 use crate::jobs::{Name, parse_task};
 use crate::term::Term;
 
-/// Least time between two lines on stops.
+/// Least time between two log lines on stops.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Messages to machines that carried stops, and the tasks that these concerned.
+/// Number of messages with stops to machines, and of the tasks that they stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct StopCount {
     pub messages: u32,
@@ -24,6 +25,7 @@
 }
 
 impl StopCount {
+    /// Counts one message, if it stops any task.
     fn add(&mut self, tasks: u32) {
         if tasks > 0 {
             self.messages += 1;
@@ -32,42 +34,53 @@
     }
 }
 
-/// What became of stops of cancelled tasks since the last line.
+/// Stops of tasks of cancelled jobs since the last log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct StopCounts {
-    /// Jobs with tasks on machines of which this leader heard that they are cancelled.
+    /// Number of jobs with placed tasks that this leader learned were cancelled.
     cancelled_jobs: u32,
-    /// Sent in direct calls, and in answers to reports.
+    /// Stops sent in direct calls.
     sent_in_calls: StopCount,
+    /// Stops sent in responses to reports.
     sent_in_responses: StopCount,
-    /// Of those in calls: carried out, refused by the worker, and without an answer.
+    /// Stops in direct calls that the worker carried out.
     done: StopCount,
+    /// Stops in direct calls that the worker refused.
     refused: StopCount,
+    /// Stops in direct calls that got no response.
     lost: StopCount,
-    /// Tasks of cancelled jobs whose places were proven empty.
+    /// Number of tasks of cancelled jobs whose placements have ended.
     ended_tasks: u32,
 }
 
-/// The way in which stops were sent, or what became of them.
+/// How stops were sent, or the outcome of a direct call with stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StopEvent {
+    /// Sent in a direct call.
     SentByCall,
+    /// Sent in a response to a report.
     SentInResponse,
+    /// The worker carried out the orders of the direct call.
     Done,
+    /// The worker refused the orders of the direct call.
     Refused,
+    /// The direct call got no response.
     Lost,
 }
 
-/// The stops of cancelled tasks of one leader.
+/// A leader's counts of stops of tasks of cancelled jobs.
 #[derive(Debug, Default)]
 pub(crate) struct StopStatistics {
+    /// Counts since the last log line.
     counts: StopCounts,
+    /// When the last log line was written.
     logged_at: Option<Instant>,
-    /// Cancelled jobs of which tasks have places, and when this leader heard of the cancellation.
+    /// Cancelled jobs that still have placed tasks, and when this leader learned of each cancellation.
     open_jobs: BTreeMap<Name, Instant>,
 }
 
 impl StopStatistics {
+    /// Counts a message with stops, or its outcome.
     pub fn record(&mut self, event: StopEvent, tasks: u32) {
         let count = match event {
             StopEvent::SentByCall => &mut self.counts.sent_in_calls,
@@ -79,10 +92,12 @@
         count.add(tasks);
     }
 
+    /// Counts a task of a cancelled job whose placement has ended.
     pub fn task_ended(&mut self) {
         self.counts.ended_tasks += 1;
     }
 
+    /// Adds a job that this leader has learned is cancelled.
     pub fn job_cancelled(&mut self, job: &Name, now: Instant) {
         if let Entry::Vacant(entry) = self.open_jobs.entry(job.clone()) {
             entry.insert(now);
@@ -90,24 +105,25 @@
         }
     }
 
+    /// Removes a cancelled job without placed tasks.
     pub fn job_ended(&mut self, job: &Name) {
         self.open_jobs.remove(job);
     }
 }
 
-/// Tasks of cancelled jobs that still have places, as a leader knows them.
+/// Tasks of cancelled jobs that are still placed on machines, as known to the leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PendingStops {
-    /// Jobs that are cancelled and have tasks on machines.
+    /// Number of cancelled jobs with tasks on machines.
     pub jobs: usize,
-    /// Tasks of these.
+    /// Number of those tasks.
     pub tasks: usize,
-    /// For how long the leader has known of the cancellation that is open for the longest time.
+    /// How long the leader has known of the oldest of these cancellations.
     pub oldest: Duration,
 }
 
 impl Term {
-    /// How many tasks of cancelled jobs these orders stop.
+    /// Number of tasks of cancelled jobs that these orders stop.
     pub(super) fn count_cancelled_stops(&self, orders: &[Order]) -> u32 {
         let cancelled = |order: &&Order| match order {
             Order::Stop { task, .. } => {
@@ -118,51 +134,45 @@
         orders.iter().filter(cancelled).count() as u32
     }
 
-    /// What of the cancelled jobs still has places.
+    /// Returns the cancelled jobs and tasks that are still placed on machines.
     pub fn pending_stops(&self, now: Instant) -> PendingStops {
-        let places = |job: &Name| self.jobs.get(job).map_or(0, |job| job.places.len());
+        let placed_tasks = |job: &Name| self.jobs.get(job).map_or(0, |job| job.places.len());
         PendingStops {
             jobs: self.stops.open_jobs.len(),
-            tasks: self.stops.open_jobs.keys().map(places).sum(),
+            tasks: self.stops.open_jobs.keys().map(placed_tasks).sum(),
             oldest: self.stops.open_jobs.values().min().map_or(Duration::ZERO, |since| now.duration_since(*since)),
         }
     }
 
-    /// Writes a line if any stop was sent or had an outcome since the last one.
+    /// Writes a log line if any stop was sent or had an outcome since the last line.
     pub(super) fn log_stops(&mut self, env: &Env) {
         let now = env.steady();
-        let early = self.stops.logged_at.is_some_and(|t| now.duration_since(t) < LOG_INTERVAL);
-        if early || self.stops.counts == StopCounts::default() {
+        let logged_recently = self.stops.logged_at.is_some_and(|at| now.duration_since(at) < LOG_INTERVAL);
+        if logged_recently || self.stops.counts == StopCounts::default() {
             return;
         }
         self.stops.logged_at = Some(now);
-        let StopCounts {
-            cancelled_jobs: heard,
-            sent_in_calls: called,
-            sent_in_responses: told,
-            done,
-            refused,
-            lost,
-            ended_tasks: ended,
-        } = std::mem::take(&mut self.stops.counts);
-        let awaited = self.pending_stops(now);
+        let StopCounts { cancelled_jobs, sent_in_calls, sent_in_responses, done, refused, lost, ended_tasks } =
+            std::mem::take(&mut self.stops.counts);
+        let pending = self.pending_stops(now);
         tracing::info!(
             token = self.token,
-            heard,
-            called = %format_count(called),
-            told = %format_count(told),
+            heard = cancelled_jobs,
+            called = %format_count(sent_in_calls),
+            told = %format_count(sent_in_responses),
             done = %format_count(done),
             refused = %format_count(refused),
             lost = %format_count(lost),
-            ended,
-            jobs = awaited.jobs,
-            awaited = awaited.tasks,
-            oldest_s = awaited.oldest.as_secs(),
+            ended = ended_tasks,
+            jobs = pending.jobs,
+            awaited = pending.tasks,
+            oldest_s = pending.oldest.as_secs(),
             "stops of cancelled tasks (tasks/messages)"
         );
     }
 }
 
+/// Formats a count as `tasks/messages`.
 fn format_count(count: StopCount) -> String {
     format!("{}/{}", count.tasks, count.messages)
 }
--- a/crates/core/src/fleet/tasks.rs
+++ b/crates/core/src/fleet/tasks.rs
@@ -1,4 +1,4 @@
-//! What becomes of tasks on their machines: they run, exit, fail, leave or are stopped.
+//! The life of tasks on their machines: they run, exit, fail, are stopped, or leave before the cloud reclaims the machine.
 
 use std::time::{Duration, Instant};
 
@@ -10,12 +10,13 @@
 use crate::term::Term;
 
 impl Term {
+    /// Applies the reported state of a task to its placement.
     pub(super) fn apply_task_report(&mut self, env: &mut Env, key: &TaskKey, report: &TaskReport) {
         let now = env.steady();
         let job = self.jobs.get_mut(&key.0).expect("placed");
         let place = job.places.get_mut(&key.1).expect("placed");
-        let before = place.stage;
-        let began = report.state == TaskState::Running && place.running.is_none();
+        let previous_stage = place.stage;
+        let started_running = report.state == TaskState::Running && place.running.is_none();
         match report.state {
             TaskState::Fetching => place.stage = Stage::Fetching,
             TaskState::Saving => place.stage = Stage::Saving,
@@ -33,25 +34,26 @@
                 return;
             }
         }
-        if before != place.stage {
+        if previous_stage != place.stage {
             if place.stop.is_some_and(|stop| stop.sent.is_none()) {
                 let machine = place.machine.clone();
                 self.call_soon(&machine);
             }
             self.note_progress(&key.0);
             self.move_seen(now, key, report.state);
-            if began {
+            if started_running {
                 let machine = self.jobs[&key.0].places[&key.1].machine.clone();
                 self.runs_in_zone(&machine);
             }
         }
     }
 
+    /// Handles a task that has exited, and ends its placement.
     fn handle_task_exit(&mut self, env: &mut Env, key: &TaskKey, why: Cause) {
         let now = env.steady();
         let job = self.jobs.get_mut(&key.0).expect("placed");
         let place = job.places[&key.1].clone();
-        let mut again = now;
+        let mut retry_at = now;
         match why {
             Cause::Done => {
                 job.set_done(key.1);
@@ -63,25 +65,27 @@
                 self.task_succeeded(&key.0, &place);
             }
             Cause::Stopped => {}
-            Cause::Error => again = self.task_failed(now, key, &place),
+            Cause::Error => retry_at = self.task_failed(now, key, &place),
             Cause::NoRoom => {
                 let machine = self.machines.get_mut(&place.machine).expect("placed");
                 machine.full_until = Some(now + Duration::from_secs(2));
             }
-            Cause::Busy => again = now + Duration::from_secs(2),
-            Cause::Unknown => again = now + Duration::from_secs(5),
+            Cause::Busy => retry_at = now + Duration::from_secs(2),
+            Cause::Unknown => retry_at = now + Duration::from_secs(5),
         }
         tracing::debug!(job = &*key.0, task = key.1, machine = &*place.machine, ?why, "exited");
-        self.clear_placement(env, key, again);
+        self.clear_placement(env, key, retry_at);
         let machine = self.machines.get_mut(&place.machine).expect("placed");
         machine.exited.insert((format!("{}/{}", key.0, key.1), place.attempt), key.clone());
         self.after_change(&key.0);
     }
 
+    /// Clears the machine's failures from before the task was placed, and quarantines the other machines on which the
+    /// job failed.
     fn task_succeeded(&mut self, job: &Name, place: &Place) {
         let machine = self.machines.get_mut(&place.machine).expect("placed");
         machine.failed_jobs.retain(|_, at| place.placed < *at);
-        // A job that works elsewhere clears itself of the failures it had.
+        // The job works here, so its failures elsewhere are the machines' fault.
         let failed_on = self.jobs[job].failed_on.clone();
         for name in failed_on.iter().filter(|name| **name != place.machine) {
             if self.machines.get(name).is_some_and(|m| m.failed_jobs.contains_key(job)) {
@@ -90,30 +94,31 @@
         }
     }
 
-    /// A task failed. Tells machines that fail every task apart from jobs that fail
-    /// everywhere; returns when the task may be tried again.
+    /// Handles a failed task and returns when it may be tried again. Distinguishes machines that
+    /// fail every task from jobs that fail everywhere.
     fn task_failed(&mut self, now: Instant, key: &TaskKey, place: &Place) -> Instant {
         let job = self.jobs.get_mut(&key.0).expect("placed");
         job.failed_on.insert(place.machine.clone());
         job.failures += 1;
-        let works = job.done_count > 0
+        let job_works = job.done_count > 0
             || job.places.values().any(|p| {
                 p.machine != place.machine && p.running.is_some_and(|t| now.duration_since(t) > Duration::from_secs(5))
             });
-        let bad_job = !works && job.failed_on.len() >= FAILS_EVERYWHERE;
+        let faulty_job = !job_works && job.failed_on.len() >= FAILS_EVERYWHERE;
         let failures = job.failures;
         let machine = self.machines.get_mut(&place.machine).expect("placed");
-        if !bad_job {
+        if !faulty_job {
             machine.failed_jobs.insert(key.0.clone(), now);
-            if works || machine.failed_jobs.len() >= 2 {
+            if job_works || machine.failed_jobs.len() >= 2 {
                 let name = place.machine.clone();
                 self.quarantine(&name);
             }
         }
-        let wait = if bad_job { 2f64.powi(failures.min(6) as i32 - 2).min(30.0) } else { 0.0 };
-        now + Duration::from_secs_f64(wait)
+        let backoff_s = if faulty_job { 2f64.powi(failures.min(6) as i32 - 2).min(30.0) } else { 0.0 };
+        now + Duration::from_secs_f64(backoff_s)
     }
 
+    /// Quarantines a machine, so that it gets no more tasks and is released once it has none.
     fn quarantine(&mut self, name: &Name) {
         if let Some(machine) = self.machines.get_mut(name)
             && !machine.quarantined
@@ -121,14 +126,15 @@
             tracing::info!(
                 machine = &**name,
                 jobs = machine.failed_jobs.len(),
-                "quarantined: it fails the tasks it starts"
+                "quarantined: it fails the tasks that it starts"
             );
             machine.quarantined = true;
         }
     }
 
-    /// The place of a task is proven empty.
-    pub fn clear_placement(&mut self, env: &mut Env, key: &TaskKey, again: Instant) {
+    /// Ends the placement of a task that is proven not to run. If the task is not done it may be placed again from
+    /// `retry_at` on.
+    pub fn clear_placement(&mut self, env: &mut Env, key: &TaskKey, retry_at: Instant) {
         let now = env.steady();
         let Some(job) = self.jobs.get_mut(&key.0) else {
             return;
@@ -142,19 +148,19 @@
         if job.cancelled {
             self.stops.task_ended();
         }
-        job.put_back(key.1, again);
+        job.put_back(key.1, retry_at);
         self.quotas.sub(&job.spec);
         if let Some(machine) = self.machines.get_mut(&place.machine) {
             machine.remove_task(key, &job.spec, now);
         }
         self.records.changed(key.clone(), None);
-        self.task_left(now, key, again > now);
+        self.task_left(now, key, retry_at > now);
         self.place_due = true;
         self.note_progress(&key.0);
         self.after_change(&key.0);
     }
 
-    /// Orders a task to leave its machine. One that was never ordered just stays away.
+    /// Orders a task to stop on its machine. If its start was never sent, its placement just ends.
     pub fn stop_task(&mut self, env: &mut Env, job: &Name, task: u32, grace: f64) {
         let Some(place) = self.jobs.get_mut(job).and_then(|job| job.places.get_mut(&task)) else {
             return;
@@ -176,17 +182,23 @@
         }
     }
 
-    /// The cloud takes a spot machine away: what saves is told to save, what cannot
-    /// finish in time is moved at once.
+    /// Handles a notice that the cloud will reclaim a spot machine. Running tasks that can save a
+    /// checkpoint are stopped with a grace period. Others that cannot finish in time are stopped at
+    /// once, to be placed elsewhere.
     pub(super) fn handle_reclaim_notice(&mut self, env: &mut Env, name: &Name, notice_s: Option<f64>) {
         let now = env.steady();
-        let Some(left) = notice_s else { return };
+        let Some(remaining) = notice_s else { return };
         let machine = self.machines.get_mut(name).expect("reported");
-        let left = Duration::from_secs_f64(left.clamp(0.0, 1e6));
+        let remaining = Duration::from_secs_f64(remaining.clamp(0.0, 1e6));
         if machine.reclaimed_at.is_none() {
-            tracing::info!(machine = &**name, in_s = left.as_secs(), tasks = machine.tasks.len(), "to be taken");
+            tracing::info!(
+                machine = &**name,
+                in_s = remaining.as_secs(),
+                tasks = machine.tasks.len(),
+                "the cloud will reclaim it"
+            );
         }
-        machine.reclaimed_at = Some(now + left);
+        machine.reclaimed_at = Some(now + remaining);
         let keys: Vec<TaskKey> = machine.tasks.iter().cloned().collect();
         for (job, task) in keys {
             let Some(owner) = self.jobs.get(&job) else {
@@ -194,11 +206,11 @@
             };
             let spec = &owner.spec;
             let place = &owner.places[&task];
-            let ran = place.running.map_or(0.0, |t| now.duration_since(t).as_secs_f64());
-            let finishes = spec.kind == Kind::Array
+            let ran_for_s = place.running.map_or(0.0, |since| now.duration_since(since).as_secs_f64());
+            let finishes_in_time = spec.kind == Kind::Array
                 && place.running.is_some()
-                && (owner.mean_run_s - ran).max(0.0) + 1.0 < left.as_secs_f64();
-            if !finishes && place.stop.is_none() {
+                && (owner.mean_run_s - ran_for_s).max(0.0) + 1.0 < remaining.as_secs_f64();
+            if !finishes_in_time && place.stop.is_none() {
                 let saves = spec.checkpoint_s > 0.0 && place.running.is_some();
                 let grace = if saves { spec.save_s } else { 0.0 };
                 self.stop_task(env, &job, task, grace);
