--- /dev/null
+++ b/crates/rushyoke/src/client.rs
@@ -0,0 +1,73 @@
+//! The small clients: submit, status and cancel. Each failure is one clear line.
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use hyper::Method;
+use rushyoke_core::Outcome;
+use tokio::task::LocalSet;
+
+use crate::http_client::{HttpClient, IdleLimit, OutgoingRequest};
+
+#[derive(clap::Args)]
+pub struct ServerArgs {
+    /// Address of a controller, such as 127.0.0.1:8080
+    #[arg(long, value_name = "ADDR", env = "RUSHYOKE_SERVER")]
+    server: SocketAddr,
+    /// Seconds to wait for the answer
+    #[arg(long, value_name = "S", default_value_t = 5)]
+    timeout: u64,
+}
+
+pub enum Request {
+    Submit { target: ServerArgs, file: PathBuf },
+    Status { target: ServerArgs, id: String },
+    Cancel { target: ServerArgs, id: String },
+}
+
+/// Carries out one request; the line to print, or why it failed.
+pub async fn run(request: Request) -> Result<String, String> {
+    let (target, method, path, body) = match request {
+        Request::Submit { target, file } => {
+            let read = if file.as_os_str() == "-" {
+                std::io::read_to_string(std::io::stdin())
+            } else {
+                std::fs::read_to_string(&file)
+            };
+            let body = read.map_err(|e| format!("{}: {e}", file.display()))?;
+            (target, Method::POST, "/api/jobs".to_owned(), body)
+        }
+        Request::Status { target, id } => (target, Method::GET, format!("/api/jobs/{id}"), String::new()),
+        Request::Cancel { target, id } => (target, Method::POST, format!("/api/jobs/{id}/cancel"), String::new()),
+    };
+    let timeout = Duration::from_secs(target.timeout);
+    let request = OutgoingRequest {
+        addr: target.server,
+        method,
+        path,
+        body: Bytes::from(body),
+        connect_timeout: timeout,
+        response_timeout: timeout,
+        max_response_bytes: 1 << 20,
+    };
+    match LocalSet::new()
+        .run_until(
+            HttpClient::new(IdleLimit { reserved: 1, inbound: Rc::default(), max_inbound: 0 }, Rc::default())
+                .request(request),
+        )
+        .await
+    {
+        Outcome::Responded((200 | 201, body)) => Ok(String::from_utf8_lossy(&body).into_owned()),
+        Outcome::Responded((status, body)) => {
+            Err(format!("{} answered {status}: {}", target.server, String::from_utf8_lossy(&body)))
+        }
+        Outcome::NotExecuted => Err(format!("{} cannot be reached", target.server)),
+        Outcome::Unknown => Err(format!(
+            "{} did not answer within {} s; it may still act on the request",
+            target.server, target.timeout
+        )),
+    }
+}
--- a/crates/rushyoke/src/drive.rs
+++ b/crates/rushyoke/src/driver.rs
@@ -14,13 +14,13 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::LocalSet;
 
-use crate::budget::Budget;
-use crate::http::{Http, Room};
-use crate::outside;
-use crate::pace::Pace;
-use crate::serve::{Asked, Server, Side};
+use crate::http_client::{HttpClient, IdleLimit};
+use crate::outbound;
+use crate::pacing::Pacer;
+use crate::rate_limit::RateLimitedQueue;
+use crate::server::{CoreRequest, ListenerKind, Server};
 use crate::settings::Settings;
-use crate::stats::{Delay, Stats};
+use crate::stats::{Latency, Stats};
 
 const TICK: Duration = Duration::from_millis(100);
 /// Weight of the last tick in how busy the process is.
@@ -42,8 +42,8 @@
 
 struct Driver {
     node: Node,
-    http: Http,
-    store: Budget<(CallId, StoreOp)>,
+    client: HttpClient,
+    store: RateLimitedQueue<(CallId, StoreOp)>,
     /// Requests and changes a second that the state service will allow from some moment on, which its
     /// first 429 may show.
     next_limits: Option<(f64, f64)>,
@@ -52,7 +52,7 @@
     /// must not use up the sockets. Leadership passes, and watches do not count.
     store_calls: Rc<Cell<usize>>,
     most_store_calls: usize,
-    cloud: Budget<(CallId, CloudOp)>,
+    cloud: RateLimitedQueue<(CallId, CloudOp)>,
     store_addr: SocketAddr,
     cloud_addr: SocketAddr,
     peers: HashMap<String, SocketAddr>,
@@ -83,52 +83,67 @@
     let sockets = settings.sockets;
     // A connection carries one request at a time, so that none is ever turned away for want of
     // room here: when all workers turn to a new leader at once, each of them would come again.
-    let (core, mut inbox) = mpsc::channel::<Asked>(sockets.served);
-    let (first, mut inbox_first) = mpsc::channel::<Asked>(FIRST);
+    let (requests, mut request_inbox) = mpsc::channel::<CoreRequest>(sockets.inbound);
+    let (priority_requests, mut priority_inbox) = mpsc::channel::<CoreRequest>(FIRST);
     // Outcomes of our own calls, whose number is bounded by the core and the budgets.
     let (back, mut outcomes) = mpsc::unbounded_channel::<Input>();
-    let open = Rc::new(Cell::new(0));
+    let open_connections = Rc::new(Cell::new(0));
     let start = now();
     let stats = Rc::new(RefCell::new(Stats::new(start.steady)));
-    let http = Http::new(Room { own: sockets.kept, open: open.clone(), most: sockets.served }, stats.clone());
-    let pace = Pace::default();
-    let bodies = Rc::new(Cell::new(0));
-    tokio::task::spawn_local(pace.clone().run());
-    for (side, addr) in [(Side::Public, settings.public_addr), (Side::Peers, settings.peer_bind)] {
+    let client = HttpClient::new(
+        IdleLimit { reserved: sockets.idle, inbound: open_connections.clone(), max_inbound: sockets.inbound },
+        stats.clone(),
+    );
+    let pacer = Pacer::default();
+    let body_bytes = Rc::new(Cell::new(0));
+    tokio::task::spawn_local(pacer.clone().run());
+    for (kind, addr) in [(ListenerKind::Public, settings.public_addr), (ListenerKind::Peers, settings.peer_bind)] {
         let listener = Server::bind(addr).await?;
-        let (core, first, open, stats) = (core.clone(), first.clone(), open.clone(), stats.clone());
-        let (pace, http) = (pace.clone(), http.clone());
-        let (bodies, most_bodies) = (bodies.clone(), settings.body_bytes);
-        let most = sockets.served;
-        let server = Server { side, core, first, open, most, bodies, most_bodies, pace, http, stats };
+        let (requests, priority_requests, open_connections, stats) =
+            (requests.clone(), priority_requests.clone(), open_connections.clone(), stats.clone());
+        let (pacer, client) = (pacer.clone(), client.clone());
+        let (body_bytes, max_body_bytes) = (body_bytes.clone(), settings.max_body_bytes);
+        let max_connections = sockets.inbound;
+        let server = Server {
+            kind,
+            requests,
+            priority_requests,
+            open_connections,
+            max_connections,
+            body_bytes,
+            max_body_bytes,
+            pacer,
+            client,
+            stats,
+        };
         tokio::task::spawn_local(server.run(listener));
     }
-    drop((core, first));
+    drop((requests, priority_requests));
     tracing::info!(label = settings.facts.label, public = %settings.public_addr, "started");
     let mut driver = Driver {
-        store: Budget::new(settings.state_rps, settings.state_writes, STORE_BURST, start.steady),
-        next_limits: settings.state_next,
+        store: RateLimitedQueue::new(settings.store_rps, settings.store_write_rps, STORE_BURST, start.steady),
+        next_limits: settings.upcoming_store_rates,
         limited: Rc::default(),
-        cloud: Budget::new(settings.cloud_rps, settings.cloud_rps, 1.0, start.steady),
+        cloud: RateLimitedQueue::new(settings.cloud_rps, settings.cloud_rps, 1.0, start.steady),
         node: Node::new(settings.facts, settings.policy, rand::random(), start),
-        http,
+        client,
         store_calls: Rc::new(Cell::new(0)),
-        most_store_calls: sockets.store,
-        store_addr: settings.state,
-        cloud_addr: settings.cloud,
+        most_store_calls: sockets.store_calls,
+        store_addr: settings.store_addr,
+        cloud_addr: settings.cloud_addr,
         peers: settings.peers.into_iter().collect(),
         waiting: HashMap::new(),
         next_req: 0,
         back,
         stats,
-        others: settings.nodes.saturating_sub(1),
+        others: settings.node_count.saturating_sub(1),
         waits,
         waited: 0,
         inputs: 0,
         busy: 0.0,
         ticked: start.steady,
     };
-    driver.cloud.share(CLOUD_SHARE);
+    driver.cloud.set_share(CLOUD_SHARE);
     let mut ticks = tokio::time::interval(TICK);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
@@ -136,8 +151,8 @@
             biased;
             Some(input) = outcomes.recv() => driver.input(input),
             _ = ticks.tick() => driver.tick(),
-            Some(asked) = inbox_first.recv() => driver.asked(asked),
-            Some(asked) = inbox.recv() => driver.asked(asked),
+            Some(request) = priority_inbox.recv() => driver.handle_request(request),
+            Some(request) = request_inbox.recv() => driver.handle_request(request),
         }
         driver.pump();
     }
@@ -147,7 +162,7 @@
     fn tick(&mut self) {
         let now = Instant::now();
         let late = now.duration_since(self.ticked).saturating_sub(TICK);
-        self.stats.borrow_mut().late(late);
+        self.stats.borrow_mut().record_tick_delay(late);
         self.ticked = now;
         let share = match (self.node.token(), self.others) {
             (_, 0) => 1.0,
@@ -158,19 +173,19 @@
             && let Some((rps, write_rps)) = self.next_limits.take()
         {
             tracing::info!(rps, write_rps, "the state service's coming limits hold from now on");
-            self.store.limit(rps, write_rps, STORE_BURST);
+            self.store.set_limits(rps, write_rps, STORE_BURST);
         }
-        self.store.share(share);
-        for (call, _) in self.store.expired(now) {
+        self.store.set_share(share);
+        for (call, _) in self.store.take_expired(now) {
             self.input(Input::Store { call, outcome: Outcome::NotExecuted });
         }
-        for (call, _) in self.cloud.expired(now) {
+        for (call, _) in self.cloud.take_expired(now) {
             self.input(Input::Cloud { call, outcome: Outcome::NotExecuted });
         }
         let waits = self.waits.load(Ordering::Relaxed);
-        self.stats.borrow_mut().waits(waits);
+        self.stats.borrow_mut().set_parks(waits);
         self.gauge(waits, late);
-        self.stats.borrow_mut().tick(now, || self.node.pending_stops(now));
+        self.stats.borrow_mut().log_when_due(now, || self.node.pending_stops(now));
         self.input(Input::Tick);
     }
 
@@ -185,12 +200,13 @@
         self.input(Input::ProcessorLoad { share, tick_delay: late });
     }
 
-    fn asked(&mut self, asked: Asked) {
+    fn handle_request(&mut self, request: CoreRequest) {
         self.next_req += 1;
         let request_id = RequestId(self.next_req);
-        let waiting = Waiting { answer: asked.answer, submission: asked.submission, since: Instant::now() };
+        let waiting =
+            Waiting { answer: request.response_sender, submission: request.is_submission, since: Instant::now() };
         self.waiting.insert(request_id, waiting);
-        self.input((asked.input)(request_id));
+        self.input((request.into_input)(request_id));
     }
 
     fn input(&mut self, input: Input) {
@@ -206,10 +222,10 @@
             Output::Response { request_id, response } => {
                 if let Some(waiting) = self.waiting.remove(&request_id) {
                     if waiting.submission {
-                        self.stats.borrow_mut().note(Delay::Accept, now.duration_since(waiting.since));
+                        self.stats.borrow_mut().record_latency(Latency::Submission, now.duration_since(waiting.since));
                     }
                     if matches!(response.status, 429 | 503) {
-                        self.stats.borrow_mut().shed();
+                        self.stats.borrow_mut().count_shed();
                     }
                     // The client may have gone.
                     let _ = waiting.answer.send(response);
@@ -230,10 +246,10 @@
                 }
             }
             Output::Order { call, addr, orders, probe } => {
-                let (http, back, stats) = (self.http.clone(), self.back.clone(), self.stats.clone());
+                let (client, back, stats) = (self.client.clone(), self.back.clone(), self.stats.clone());
                 tokio::task::spawn_local(async move {
-                    let outcome = outside::order(&http, &addr, &orders, probe).await;
-                    stats.borrow_mut().note(Delay::Order, now.elapsed());
+                    let outcome = outbound::send_orders(&client, &addr, &orders, probe).await;
+                    stats.borrow_mut().record_latency(Latency::Order, now.elapsed());
                     let _ = back.send(Input::OrderResponse { call, outcome });
                 });
             }
@@ -241,9 +257,9 @@
                 let Some(addr) = self.peers.get(&label).copied() else {
                     return;
                 };
-                let (http, back) = (self.http.clone(), self.back.clone());
+                let (client, back) = (self.client.clone(), self.back.clone());
                 tokio::task::spawn_local(async move {
-                    let outcome = outside::peer(&http, addr, &request).await;
+                    let outcome = outbound::call_peer(&client, addr, &request).await;
                     let _ = back.send(Input::PeerResponse { label, outcome });
                 });
             }
@@ -251,9 +267,9 @@
                 let Some(addr) = self.peers.get(&label).copied() else {
                     return;
                 };
-                let (http, back) = (self.http.clone(), self.back.clone());
+                let (client, back) = (self.client.clone(), self.back.clone());
                 tokio::task::spawn_local(async move {
-                    let outcome = outside::relay(&http, addr, &relay).await;
+                    let outcome = outbound::relay_reports(&client, addr, &relay).await;
                     let _ = back.send(Input::RelayResponse { call, outcome });
                 });
             }
@@ -263,26 +279,28 @@
     /// Sends what the budgets allow.
     fn pump(&mut self) {
         let now = Instant::now();
-        while let Some((call, op)) = self.store.next(now, self.store_calls.get() >= self.most_store_calls) {
-            let (http, back, stats, addr) = (self.http.clone(), self.back.clone(), self.stats.clone(), self.store_addr);
+        while let Some((call, op)) = self.store.pop(now, self.store_calls.get() >= self.most_store_calls) {
+            let (client, back, stats, addr) =
+                (self.client.clone(), self.back.clone(), self.stats.clone(), self.store_addr);
             let (calls, limited) = (self.store_calls.clone(), self.limited.clone());
             let watch = matches!(op, StoreOp::Watch { .. });
             calls.set(calls.get() + usize::from(!watch));
             tokio::task::spawn_local(async move {
-                let outcome = outside::store(&http, addr, op).await;
+                let outcome = outbound::call_store(&client, addr, op).await;
                 limited.set(limited.get() || matches!(outcome, Outcome::Responded(StoreResponse::RateLimited)));
                 if !watch {
                     calls.set(calls.get() - 1);
-                    stats.borrow_mut().note(Delay::State, now.elapsed());
+                    stats.borrow_mut().record_latency(Latency::Store, now.elapsed());
                 }
                 let _ = back.send(Input::Store { call, outcome });
             });
         }
-        while let Some((call, op)) = self.cloud.next(now, false) {
-            let (http, back, stats, addr) = (self.http.clone(), self.back.clone(), self.stats.clone(), self.cloud_addr);
+        while let Some((call, op)) = self.cloud.pop(now, false) {
+            let (client, back, stats, addr) =
+                (self.client.clone(), self.back.clone(), self.stats.clone(), self.cloud_addr);
             tokio::task::spawn_local(async move {
-                let outcome = outside::cloud(&http, addr, op).await;
-                stats.borrow_mut().note(Delay::Cloud, now.elapsed());
+                let outcome = outbound::call_cloud(&client, addr, op).await;
+                stats.borrow_mut().record_latency(Latency::Cloud, now.elapsed());
                 let _ = back.send(Input::Cloud { call, outcome });
             });
         }
--- a/crates/rushyoke/src/http.rs
+++ b/crates/rushyoke/src/http_client.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::stats::{Stats, Work};
+use crate::stats::{Counter, Stats};
 
 type Sender = SendRequest<Full<Bytes>>;
 
@@ -24,27 +24,27 @@
 const KEPT: usize = 4;
 
 #[derive(Clone)]
-pub struct Http {
+pub struct HttpClient {
     /// Idle connections, the most recently used last.
     idle: Rc<RefCell<VecDeque<(SocketAddr, Sender)>>>,
-    room: Room,
+    idle_limit: IdleLimit,
     stats: Rc<RefCell<Stats>>,
 }
 
 /// How many idle connections are kept: a share of our own, and what those that others may
 /// open leave free. To open one costs several times what an exchange on it does.
 #[derive(Clone)]
-pub struct Room {
-    pub own: usize,
+pub struct IdleLimit {
+    pub reserved: usize,
     /// Connections that others have open, and the most that they may.
-    pub open: Rc<Cell<usize>>,
-    pub most: usize,
+    pub inbound: Rc<Cell<usize>>,
+    pub max_inbound: usize,
 }
 
-impl Room {
-    fn kept(&self) -> usize {
+impl IdleLimit {
+    fn max_idle(&self) -> usize {
         // Some stay free for what is opened at the same moment, or is about to be closed.
-        self.own + (self.most - self.most / 8).saturating_sub(self.open.get())
+        self.reserved + (self.max_inbound - self.max_inbound / 8).saturating_sub(self.inbound.get())
     }
 }
 
@@ -53,15 +53,15 @@
     pub method: Method,
     pub path: String,
     pub body: Bytes,
-    pub connect: Duration,
-    pub wait: Duration,
+    pub connect_timeout: Duration,
+    pub response_timeout: Duration,
     /// Largest answer that is read.
-    pub most: usize,
+    pub max_response_bytes: usize,
 }
 
-impl Http {
-    pub fn new(room: Room, stats: Rc<RefCell<Stats>>) -> Http {
-        Http { idle: Rc::default(), room, stats }
+impl HttpClient {
+    pub fn new(idle_limit: IdleLimit, stats: Rc<RefCell<Stats>>) -> HttpClient {
+        HttpClient { idle: Rc::default(), idle_limit, stats }
     }
 
     pub async fn request(&self, request: OutgoingRequest) -> Outcome<(u16, Bytes)> {
@@ -72,12 +72,12 @@
                 outcome => return outcome,
             }
         }
-        let stream = match timeout(request.connect, TcpStream::connect(request.addr)).await {
+        let stream = match timeout(request.connect_timeout, TcpStream::connect(request.addr)).await {
             Ok(Ok(stream)) => stream,
             // An attempt to connect that was given up does not complete later.
             _ => return Outcome::NotExecuted,
         };
-        self.stats.borrow_mut().count(Work::Opened);
+        self.stats.borrow_mut().increment(Counter::ConnectionsOpened);
         let _ = stream.set_nodelay(true);
         let Ok((sender, connection)) = handshake(TokioIo::new(stream)).await else {
             return Outcome::NotExecuted;
@@ -104,13 +104,13 @@
         }
         idle.push_back((addr, sender));
         drop(idle);
-        self.give_way();
+        self.trim_idle();
     }
 
     /// Others have opened connections: those idle for longest make room for them.
-    pub fn give_way(&self) {
+    pub fn trim_idle(&self) {
         let mut idle = self.idle.borrow_mut();
-        while idle.len() > self.room.kept() {
+        while idle.len() > self.idle_limit.max_idle() {
             idle.pop_front();
         }
     }
@@ -136,7 +136,7 @@
                 e.take_message().is_some()
             })?;
             let status = response.status().as_u16();
-            let body = match Limited::new(response.into_body(), request.most).collect().await {
+            let body = match Limited::new(response.into_body(), request.max_response_bytes).collect().await {
                 Ok(body) => body.to_bytes(),
                 // Too large to be read: the status says that it was carried out.
                 Err(error) if error.downcast_ref::<LengthLimitError>().is_some() => Bytes::new(),
@@ -144,7 +144,7 @@
             };
             Ok((status, body))
         };
-        match timeout(request.wait, answer).await {
+        match timeout(request.response_timeout, answer).await {
             Ok(Ok(answer)) => {
                 self.keep_when_ready(request.addr, sender);
                 Outcome::Responded(answer)
--- a/crates/rushyoke/src/main.rs
+++ b/crates/rushyoke/src/main.rs
@@ -1,12 +1,12 @@
 //! rushyoke: a cluster scheduler after eSplash.
 
-mod budget;
-mod command;
-mod drive;
-mod http;
-mod outside;
-mod pace;
-mod serve;
+mod client;
+mod driver;
+mod http_client;
+mod outbound;
+mod pacing;
+mod rate_limit;
+mod server;
 mod settings;
 mod stats;
 
@@ -40,20 +40,20 @@
     /// Submit the job described in a JSON file
     Submit {
         #[command(flatten)]
-        at: command::Target,
+        target: client::ServerArgs,
         /// The job, as in the body of POST /api/jobs; - reads standard input
         file: PathBuf,
     },
     /// Print a job's state
     Status {
         #[command(flatten)]
-        at: command::Target,
+        target: client::ServerArgs,
         id: String,
     },
     /// Cancel a job
     Cancel {
         #[command(flatten)]
-        at: command::Target,
+        target: client::ServerArgs,
         id: String,
     },
 }
@@ -73,9 +73,9 @@
         Err(error) => return fail(1, &format!("the runtime cannot start: {error}")),
     };
     let client = match cli.command {
-        Some(Command::Submit { at, file }) => command::Request::Submit { at, file },
-        Some(Command::Status { at, id }) => command::Request::Status { at, id },
-        Some(Command::Cancel { at, id }) => command::Request::Cancel { at, id },
+        Some(Command::Submit { target, file }) => client::Request::Submit { target, file },
+        Some(Command::Status { target, id }) => client::Request::Status { target, id },
+        Some(Command::Cancel { target, id }) => client::Request::Cancel { target, id },
         Some(Command::Check) | None => {
             let Some(config) = cli.config else {
                 return fail(BAD_SETTINGS, "--config FILE is missing");
@@ -89,13 +89,13 @@
                 return ExitCode::SUCCESS;
             }
             init_log();
-            return match runtime.block_on(drive::run(settings, waits)) {
+            return match runtime.block_on(driver::run(settings, waits)) {
                 Ok(()) => ExitCode::SUCCESS,
                 Err(error) => fail(1, &error),
             };
         }
     };
-    match runtime.block_on(command::run(client)) {
+    match runtime.block_on(client::run(client)) {
         Ok(line) => {
             println!("{line}");
             ExitCode::SUCCESS
--- a/crates/rushyoke/src/outside.rs
+++ b/crates/rushyoke/src/outbound.rs
@@ -15,31 +15,39 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::http::{Http, OutgoingRequest};
+use crate::http_client::{HttpClient, OutgoingRequest};
 
 /// What a watch may take beyond the time it waits: one that hangs is soon opened again, since
 /// the leader may answer no worker for long without it.
-const WATCH_SLACK: Duration = Duration::from_millis(1500);
-const STORE_WAIT: Duration = Duration::from_millis(1500);
-const CLOUD_WAIT: Duration = Duration::from_secs(5);
-const WORKER_WAIT: Duration = Duration::from_secs(3);
-const PROBE_WAIT: Duration = Duration::from_millis(800);
-const PEER_WAIT: Duration = Duration::from_secs(1);
+const WATCH_GRACE: Duration = Duration::from_millis(1500);
+const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
+const CLOUD_TIMEOUT: Duration = Duration::from_secs(5);
+const WORKER_TIMEOUT: Duration = Duration::from_secs(3);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
+const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Workers wait for four seconds for what a busy leader is asked to answer.
-const RELAY_WAIT: Duration = Duration::from_millis(2500);
-const CONNECT: Duration = Duration::from_secs(1);
-const MOST: usize = 4 * 1024 * 1024;
+const RELAY_TIMEOUT: Duration = Duration::from_millis(2500);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 /// Machines per page of the list.
-const LISTED: usize = 500;
+const MACHINES_PER_PAGE: usize = 500;
 
 fn outgoing(
     addr: SocketAddr,
     method: Method,
     path: impl Into<String>,
     body: Vec<u8>,
-    wait: Duration,
+    response_timeout: Duration,
 ) -> OutgoingRequest {
-    OutgoingRequest { addr, method, path: path.into(), body: Bytes::from(body), connect: CONNECT, wait, most: MOST }
+    OutgoingRequest {
+        addr,
+        method,
+        path: path.into(),
+        body: Bytes::from(body),
+        connect_timeout: CONNECT_TIMEOUT,
+        response_timeout,
+        max_response_bytes: MAX_RESPONSE_BYTES,
+    }
 }
 
 fn json<T: Serialize>(body: &T) -> Vec<u8> {
@@ -66,24 +74,26 @@
     Outcome::Unknown
 }
 
-pub async fn store(http: &Http, addr: SocketAddr, op: StoreOp) -> Outcome<StoreResponse> {
+pub async fn call_store(http: &HttpClient, addr: SocketAddr, op: StoreOp) -> Outcome<StoreResponse> {
     let request = match &op {
-        StoreOp::Get(key) => outgoing(addr, Method::GET, format!("/kv/{key}"), Vec::new(), STORE_WAIT),
+        StoreOp::Get(key) => outgoing(addr, Method::GET, format!("/kv/{key}"), Vec::new(), STORE_TIMEOUT),
         StoreOp::List { prefix, after } => {
             let after = if after.is_empty() { String::new() } else { format!("&since={after}") };
-            outgoing(addr, Method::GET, format!("/kv?starts={prefix}{after}&most=1000"), Vec::new(), STORE_WAIT)
+            outgoing(addr, Method::GET, format!("/kv?starts={prefix}{after}&most=1000"), Vec::new(), STORE_TIMEOUT)
         }
-        StoreOp::Txn(txn) => outgoing(addr, Method::POST, "/txn", json(txn), STORE_WAIT),
+        StoreOp::Txn(txn) => outgoing(addr, Method::POST, "/txn", json(txn), STORE_TIMEOUT),
         StoreOp::NewLease { ttl_ms } => {
-            outgoing(addr, Method::POST, "/leases", json(&NewLease { ttl_ms: *ttl_ms }), STORE_WAIT)
+            outgoing(addr, Method::POST, "/leases", json(&NewLease { ttl_ms: *ttl_ms }), STORE_TIMEOUT)
         }
         StoreOp::RenewLease(lease) => {
-            outgoing(addr, Method::POST, format!("/leases/{lease}/touch"), Vec::new(), STORE_WAIT)
+            outgoing(addr, Method::POST, format!("/leases/{lease}/touch"), Vec::new(), STORE_TIMEOUT)
+        }
+        StoreOp::EndLease(lease) => {
+            outgoing(addr, Method::DELETE, format!("/leases/{lease}"), Vec::new(), STORE_TIMEOUT)
         }
-        StoreOp::EndLease(lease) => outgoing(addr, Method::DELETE, format!("/leases/{lease}"), Vec::new(), STORE_WAIT),
         StoreOp::Watch { prefix, after, wait_ms } => {
             let path = format!("/changes?starts={prefix}&since={after}&block_ms={wait_ms}");
-            outgoing(addr, Method::GET, path, Vec::new(), Duration::from_millis(*wait_ms) + WATCH_SLACK)
+            outgoing(addr, Method::GET, path, Vec::new(), Duration::from_millis(*wait_ms) + WATCH_GRACE)
         }
     };
     let (status, body) = match http.request(request).await {
@@ -125,20 +135,20 @@
     }
 }
 
-pub async fn cloud(http: &Http, addr: SocketAddr, op: CloudOp) -> Outcome<CloudResponse> {
+pub async fn call_cloud(http: &HttpClient, addr: SocketAddr, op: CloudOp) -> Outcome<CloudResponse> {
     let request = match &op {
-        CloudOp::Types => outgoing(addr, Method::GET, "/flavors", Vec::new(), CLOUD_WAIT),
-        CloudOp::Rent(rental) => outgoing(addr, Method::POST, "/machines", json(rental), CLOUD_WAIT),
+        CloudOp::Types => outgoing(addr, Method::GET, "/flavors", Vec::new(), CLOUD_TIMEOUT),
+        CloudOp::Rent(rental) => outgoing(addr, Method::POST, "/machines", json(rental), CLOUD_TIMEOUT),
         CloudOp::Release(machines) => outgoing(
             addr,
             Method::POST,
             "/machines/release",
             json(&MachineNames { machines: machines.clone() }),
-            CLOUD_WAIT,
+            CLOUD_TIMEOUT,
         ),
         CloudOp::List { after } => {
             let after = after.as_ref().map(|a| format!("since={a}&")).unwrap_or_default();
-            outgoing(addr, Method::GET, format!("/machines?{after}most={LISTED}"), Vec::new(), CLOUD_WAIT)
+            outgoing(addr, Method::GET, format!("/machines?{after}most={MACHINES_PER_PAGE}"), Vec::new(), CLOUD_TIMEOUT)
         }
     };
     let (status, body) = match http.request(request).await {
@@ -166,14 +176,16 @@
 
 /// Direct orders; the outcome is the status and the worker's report. The answer to a probe, which asks for a sign
 /// of life, must not take long.
-pub async fn order(http: &Http, addr: &str, orders: &Orders, probe: bool) -> Outcome<(u16, Report)> {
+pub async fn send_orders(http: &HttpClient, addr: &str, orders: &Orders, probe: bool) -> Outcome<(u16, Report)> {
     let Ok(addr) = addr.parse::<SocketAddr>() else {
         tracing::error!(addr, "a worker's address cannot be used");
         return Outcome::NotExecuted;
     };
-    let wait = if probe { PROBE_WAIT } else { WORKER_WAIT };
-    let request =
-        OutgoingRequest { connect: PROBE_WAIT, ..outgoing(addr, Method::POST, "/orders", json(orders), wait) };
+    let wait = if probe { PROBE_TIMEOUT } else { WORKER_TIMEOUT };
+    let request = OutgoingRequest {
+        connect_timeout: PROBE_TIMEOUT,
+        ..outgoing(addr, Method::POST, "/orders", json(orders), wait)
+    };
     match http.request(request).await {
         Outcome::Responded((status @ (200 | 409), body)) => {
             known(parse("worker", &body).map(|report| (status, report)))
@@ -184,16 +196,16 @@
     }
 }
 
-pub async fn peer(http: &Http, addr: SocketAddr, message: &PeerRequest) -> Outcome<PeerResponse> {
-    to_peer(http, addr, "/peer", message, PEER_WAIT).await
+pub async fn call_peer(http: &HttpClient, addr: SocketAddr, message: &PeerRequest) -> Outcome<PeerResponse> {
+    to_peer(http, addr, "/peer", message, PEER_TIMEOUT).await
 }
 
-pub async fn relay(http: &Http, addr: SocketAddr, message: &RelayRequest) -> Outcome<RelayResponse> {
-    to_peer(http, addr, "/relay", message, RELAY_WAIT).await
+pub async fn relay_reports(http: &HttpClient, addr: SocketAddr, message: &RelayRequest) -> Outcome<RelayResponse> {
+    to_peer(http, addr, "/relay", message, RELAY_TIMEOUT).await
 }
 
 async fn to_peer<A: Serialize, T: for<'a> serde::Deserialize<'a>>(
-    http: &Http,
+    http: &HttpClient,
     addr: SocketAddr,
     path: &str,
     message: &A,
--- a/crates/rushyoke/src/pace.rs
+++ b/crates/rushyoke/src/pacing.rs
@@ -19,7 +19,7 @@
 
 /// Shared by all connections that others opened.
 #[derive(Clone, Default)]
-pub struct Pace(Rc<Inner>);
+pub struct Pacer(Rc<Inner>);
 
 #[derive(Default)]
 struct Inner {
@@ -29,7 +29,7 @@
     exhausted: tokio::sync::Notify,
 }
 
-impl Pace {
+impl Pacer {
     /// Whether one more read fits into this slice; else it is woken in a later one.
     fn admit(&self, cx: &mut Context<'_>) -> bool {
         if self.0.used.get() < SLICE {
@@ -45,7 +45,7 @@
     }
 
     /// Waits until another connection may be accepted, and counts it.
-    pub async fn turn(&self) {
+    pub async fn acquire(&self) {
         std::future::poll_fn(|cx| if self.admit(cx) { Poll::Ready(()) } else { Poll::Pending }).await;
         self.spend();
     }
@@ -72,25 +72,25 @@
 }
 
 /// A connection whose reads are paced.
-pub struct Paced<S> {
+pub struct PacedStream<S> {
     pub stream: S,
-    pub pace: Pace,
+    pub pacer: Pacer,
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Paced<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for PacedStream<S> {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        if !self.pace.admit(cx) {
+        if !self.pacer.admit(cx) {
             return Poll::Pending;
         }
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
         if polled.is_ready() {
-            self.pace.spend();
+            self.pacer.spend();
         }
         polled
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Paced<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for PacedStream<S> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
--- a/crates/rushyoke/src/pace/tests.rs
+++ b/crates/rushyoke/src/pacing/tests.rs
@@ -9,15 +9,15 @@
     // served the workers of all three.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let pace = Pace::default();
-        tokio::task::spawn_local(pace.clone().run());
+        let pacer = Pacer::default();
+        tokio::task::spawn_local(pacer.clone().run());
         let served = Rc::new(Cell::new(0u32));
         let mut crowd = Vec::new();
         for _ in 0..200 {
             let (mut other, stream) = duplex(64);
             other.write_all(b"x").await.expect("room");
             crowd.push(other);
-            let (mut paced, served) = (Paced { stream, pace: pace.clone() }, served.clone());
+            let (mut paced, served) = (PacedStream { stream, pacer: pacer.clone() }, served.clone());
             tokio::task::spawn_local(async move {
                 while paced.read_u8().await.is_ok() {
                     served.set(served.get() + 1);
--- a/crates/rushyoke/src/budget.rs
+++ b/crates/rushyoke/src/rate_limit.rs
@@ -48,7 +48,7 @@
 }
 
 /// Requests and writes per second, with a queue per urgency.
-pub struct Budget<T> {
+pub struct RateLimitedQueue<T> {
     requests: Bucket,
     writes: Bucket,
     queues: [VecDeque<Queued<T>>; 4],
@@ -58,10 +58,10 @@
     write_rps: f64,
 }
 
-impl<T> Budget<T> {
+impl<T> RateLimitedQueue<T> {
     /// `seconds` worth of calls may go out in a burst.
-    pub fn new(rps: f64, write_rps: f64, seconds: f64, now: Instant) -> Budget<T> {
-        Budget {
+    pub fn new(rps: f64, write_rps: f64, seconds: f64, now: Instant) -> RateLimitedQueue<T> {
+        RateLimitedQueue {
             requests: Bucket::new(rps, (rps * seconds).max(1.0), now),
             writes: Bucket::new(write_rps, (write_rps * seconds).max(1.0), now),
             queues: std::array::from_fn(|_| VecDeque::new()),
@@ -72,14 +72,14 @@
     }
 
     /// Changes what is allowed a second.
-    pub fn limit(&mut self, rps: f64, write_rps: f64, seconds: f64) {
+    pub fn set_limits(&mut self, rps: f64, write_rps: f64, seconds: f64) {
         (self.rps, self.write_rps) = (rps, write_rps);
         self.requests.burst = (rps * seconds).max(1.0);
         self.writes.burst = (write_rps * seconds).max(1.0);
     }
 
     /// Sets this node's share of the whole.
-    pub fn share(&mut self, share: f64) {
+    pub fn set_share(&mut self, share: f64) {
         self.requests.rate = self.rps * share;
         self.writes.rate = self.write_rps * share;
     }
@@ -95,7 +95,7 @@
     }
 
     /// The next call that may go out; only leadership's if the calls under way are too many.
-    pub fn next(&mut self, now: Instant, full: bool) -> Option<T> {
+    pub fn pop(&mut self, now: Instant, full: bool) -> Option<T> {
         self.requests.fill(now);
         self.writes.fill(now);
         // Leadership never waits; what it uses is paid back by the others. What reads only does
@@ -133,7 +133,7 @@
     }
 
     /// Calls that waited too long.
-    pub fn expired(&mut self, now: Instant) -> Vec<T> {
+    pub fn take_expired(&mut self, now: Instant) -> Vec<T> {
         let mut expired = Vec::new();
         for queue in &mut self.queues {
             while queue.front().is_some_and(|q| now.duration_since(q.since) > PATIENCE) {
--- a/crates/rushyoke/src/serve.rs
+++ b/crates/rushyoke/src/server.rs
@@ -22,9 +22,9 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-use crate::http::Http;
-use crate::pace::{Pace, Paced};
-use crate::stats::{Stats, Work};
+use crate::http_client::HttpClient;
+use crate::pacing::{PacedStream, Pacer};
+use crate::stats::{Counter, Stats};
 
 /// Largest body that is taken.
 const MOST_BODY: usize = 64 * 1024;
@@ -36,34 +36,34 @@
 const SLOWEST_BODY: Duration = Duration::from_secs(10);
 
 /// A request on its way to the core.
-pub struct Asked {
-    pub input: Box<dyn FnOnce(RequestId) -> Input>,
-    pub answer: oneshot::Sender<HttpResponse>,
-    pub submission: bool,
+pub struct CoreRequest {
+    pub into_input: Box<dyn FnOnce(RequestId) -> Input>,
+    pub response_sender: oneshot::Sender<HttpResponse>,
+    pub is_submission: bool,
 }
 
 #[derive(Clone, Copy)]
-pub enum Side {
+pub enum ListenerKind {
     Public,
     Peers,
 }
 
 #[derive(Clone)]
 pub struct Server {
-    pub side: Side,
-    pub core: mpsc::Sender<Asked>,
+    pub kind: ListenerKind,
+    pub requests: mpsc::Sender<CoreRequest>,
     /// For what must not wait behind a crowd of reports: health checks and controllers.
-    pub first: mpsc::Sender<Asked>,
+    pub priority_requests: mpsc::Sender<CoreRequest>,
     /// Connections open now and at the most, over both sides.
-    pub open: Rc<Cell<usize>>,
-    pub most: usize,
+    pub open_connections: Rc<Cell<usize>>,
+    pub max_connections: usize,
     /// Memory taken by bodies that are being read, over both sides, and at the most.
-    pub bodies: Rc<Cell<usize>>,
-    pub most_bodies: usize,
+    pub body_bytes: Rc<Cell<usize>>,
+    pub max_body_bytes: usize,
     /// Requests of users and workers are served in slices.
-    pub pace: Pace,
+    pub pacer: Pacer,
     /// Our own connections, which give way.
-    pub http: Http,
+    pub client: HttpClient,
     pub stats: Rc<RefCell<Stats>>,
 }
 
@@ -74,37 +74,37 @@
 
     pub async fn run(self, listener: TcpListener) {
         loop {
-            if let Side::Public = self.side {
-                self.pace.turn().await;
+            if let ListenerKind::Public = self.kind {
+                self.pacer.acquire().await;
             }
             let Ok((stream, _)) = listener.accept().await else {
                 // Out of sockets: those in use come free.
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 continue;
             };
-            if self.open.get() >= self.most {
+            if self.open_connections.get() >= self.max_connections {
                 // Closed at once, so that the load balancer tries another node.
                 drop(stream);
                 continue;
             }
             let _ = stream.set_nodelay(true);
-            self.stats.borrow_mut().count(Work::Accepted);
-            self.open.set(self.open.get() + 1);
-            self.http.give_way();
+            self.stats.borrow_mut().increment(Counter::ConnectionsAccepted);
+            self.open_connections.set(self.open_connections.get() + 1);
+            self.client.trim_idle();
             let server = self.clone();
             tokio::task::spawn_local(async move {
                 let service = service_fn(|request| server.serve(request));
                 let mut http = http1::Builder::new();
                 http.timer(TokioTimer::new()).header_read_timeout(IDLE).max_buf_size(MOST_HEAD);
                 // Connections end as clients please.
-                let _ = match server.side {
-                    Side::Public => {
-                        let paced = Paced { stream, pace: server.pace.clone() };
+                let _ = match server.kind {
+                    ListenerKind::Public => {
+                        let paced = PacedStream { stream, pacer: server.pacer.clone() };
                         http.serve_connection(TokioIo::new(paced), service).await
                     }
-                    Side::Peers => http.serve_connection(TokioIo::new(stream), service).await,
+                    ListenerKind::Peers => http.serve_connection(TokioIo::new(stream), service).await,
                 };
-                server.open.set(server.open.get() - 1);
+                server.open_connections.set(server.open_connections.get() - 1);
             });
         }
     }
@@ -112,11 +112,11 @@
     async fn serve(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
         let method = request.method().clone();
         let path = request.uri().path().to_owned();
-        let route = match self.side {
-            Side::Public => public_route(&path),
-            Side::Peers if path == "/peer" => Some((Method::POST, Route::Peer)),
-            Side::Peers if path == "/relay" => Some((Method::POST, Route::Relay)),
-            Side::Peers => None,
+        let route = match self.kind {
+            ListenerKind::Public => public_route(&path),
+            ListenerKind::Peers if path == "/peer" => Some((Method::POST, Route::Peer)),
+            ListenerKind::Peers if path == "/relay" => Some((Method::POST, Route::Relay)),
+            ListenerKind::Peers => None,
         };
         let Some((allowed, route)) = route else {
             return Ok(respond(HttpResponse::error(404, "no such path")));
@@ -143,12 +143,12 @@
         B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
     {
         let size = body.size_hint().upper().map_or(MOST_BODY, |size| size.min(MOST_BODY as u64) as usize);
-        if self.bodies.get() + size > self.most_bodies {
-            self.stats.borrow_mut().shed();
+        if self.body_bytes.get() + size > self.max_body_bytes {
+            self.stats.borrow_mut().count_shed();
             return Err(HttpResponse::later(503, "too many requests at once"));
         }
-        self.bodies.set(self.bodies.get() + size);
-        let _given_back = GivenBack { bodies: self.bodies.clone(), size };
+        self.body_bytes.set(self.body_bytes.get() + size);
+        let _given_back = GivenBack { bodies: self.body_bytes.clone(), size };
         match timeout(SLOWEST_BODY, Limited::new(body, MOST_BODY).collect()).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => {
@@ -160,14 +160,18 @@
     }
 
     async fn route(&self, route: Route, body: &Bytes) -> HttpResponse {
-        let submission = matches!(route, Route::Submit);
-        self.stats.borrow_mut().count(match route {
-            Route::Report => Work::Report,
-            Route::Ready | Route::Peer | Route::Relay => Work::Peer,
-            Route::Submit | Route::Status(_) | Route::Cancel(_) => Work::User,
+        let is_submission = matches!(route, Route::Submit);
+        self.stats.borrow_mut().increment(match route {
+            Route::Report => Counter::Reports,
+            Route::Ready | Route::Peer | Route::Relay => Counter::PeerRequests,
+            Route::Submit | Route::Status(_) | Route::Cancel(_) => Counter::UserRequests,
         });
-        let core = if matches!(route, Route::Ready | Route::Peer | Route::Relay) { &self.first } else { &self.core };
-        let input: Box<dyn FnOnce(RequestId) -> Input> = match route {
+        let core = if matches!(route, Route::Ready | Route::Peer | Route::Relay) {
+            &self.priority_requests
+        } else {
+            &self.requests
+        };
+        let into_input: Box<dyn FnOnce(RequestId) -> Input> = match route {
             Route::Submit => match JobSpec::parse(body) {
                 Ok(spec) => Box::new(move |request_id| Input::Submit { request_id, spec: Box::new(spec) }),
                 Err(why) => return HttpResponse::error(400, &why),
@@ -194,17 +198,17 @@
             },
             Route::Relay => match peer::decode::<peer::RelayRequest>(body) {
                 Some(relay) => {
-                    self.stats.borrow_mut().relayed(relay.reports.len());
+                    self.stats.borrow_mut().count_relayed(relay.reports.len());
                     Box::new(move |request_id| Input::Relay { request_id, relay })
                 }
                 None => return HttpResponse::error(400, "malformed message"),
             },
         };
-        let (answer, answered) = oneshot::channel();
-        if core.try_send(Asked { input, answer, submission }).is_err() {
+        let (response_sender, response) = oneshot::channel();
+        if core.try_send(CoreRequest { into_input, response_sender, is_submission }).is_err() {
             return HttpResponse::later(503, "too many requests at once");
         }
-        answered.await.unwrap_or_else(|_| HttpResponse::later(503, "no answer"))
+        response.await.unwrap_or_else(|_| HttpResponse::later(503, "no answer"))
     }
 }
 
--- a/crates/rushyoke/src/serve/tests.rs
+++ b/crates/rushyoke/src/server/tests.rs
@@ -2,20 +2,20 @@
 use hyper::body::Frame;
 
 use super::*;
-use crate::http::Room;
+use crate::http_client::IdleLimit;
 
-fn server(most_bodies: usize) -> Server {
-    let room = Room { own: 1, open: Rc::default(), most: 1 };
+fn server(max_body_bytes: usize) -> Server {
+    let idle_limit = IdleLimit { reserved: 1, inbound: Rc::default(), max_inbound: 1 };
     Server {
-        side: Side::Public,
-        core: mpsc::channel(1).0,
-        first: mpsc::channel(1).0,
-        open: Rc::default(),
-        most: 1,
-        bodies: Rc::default(),
-        most_bodies,
-        pace: Pace::default(),
-        http: Http::new(room, Rc::default()),
+        kind: ListenerKind::Public,
+        requests: mpsc::channel(1).0,
+        priority_requests: mpsc::channel(1).0,
+        open_connections: Rc::default(),
+        max_connections: 1,
+        body_bytes: Rc::default(),
+        max_body_bytes,
+        pacer: Pacer::default(),
+        client: HttpClient::new(idle_limit, Rc::default()),
         stats: Rc::default(),
     }
 }
@@ -37,7 +37,7 @@
         let server = server(200_000);
         assert_eq!(server.body(pieces(vec![30_000, 30_000])).await.expect("small enough").len(), 60_000);
         assert_eq!(server.body(pieces(vec![30_000; 9])).await.expect_err("too large").status, 413);
-        assert_eq!(server.bodies.get(), 0, "its memory was given back");
+        assert_eq!(server.body_bytes.get(), 0, "its memory was given back");
     });
 }
 
--- a/crates/rushyoke/src/settings.rs
+++ b/crates/rushyoke/src/settings.rs
@@ -10,8 +10,8 @@
 
 use rushyoke_core::{Facts, Objective, Policy, Team};
 
-use balance::FileBalance;
-use failover::FileFailover;
+use balance::BalanceSection;
+use failover::FailoverSection;
 use serde::Deserialize;
 
 /// All that a node starts with.
@@ -21,37 +21,42 @@
     pub public_addr: SocketAddr,
     pub peer_bind: SocketAddr,
     pub peers: BTreeMap<String, SocketAddr>,
-    pub cloud: SocketAddr,
-    pub state: SocketAddr,
-    pub state_rps: f64,
-    pub state_writes: f64,
+    pub cloud_addr: SocketAddr,
+    pub store_addr: SocketAddr,
+    pub store_rps: f64,
+    pub store_write_rps: f64,
     /// Both where they will be lower, from some moment on.
-    pub state_next: Option<(f64, f64)>,
+    pub upcoming_store_rates: Option<(f64, f64)>,
     pub cloud_rps: f64,
-    pub nodes: usize,
-    pub sockets: Sockets,
+    pub node_count: usize,
+    pub sockets: SocketLimits,
     /// Memory that bodies of requests may take while they are read.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
 }
 
 /// How the platform's limit on sockets is divided. Reports come over a connection from each
 /// machine, so most are for those that others open; our own calls never use up the rest.
 #[derive(Clone, Copy)]
-pub struct Sockets {
+pub struct SocketLimits {
     /// Open connections from users, workers and controllers.
-    pub served: usize,
+    pub inbound: usize,
     /// Direct calls to workers at a time.
-    pub orders: usize,
+    pub direct_calls: usize,
     /// Idle connections of our own that are kept.
-    pub kept: usize,
+    pub idle: usize,
     /// Calls to the state service at a time, leadership apart.
-    pub store: usize,
+    pub store_calls: usize,
 }
 
-impl Sockets {
-    fn divide(limit: usize) -> Sockets {
+impl SocketLimits {
+    fn divide(limit: usize) -> SocketLimits {
         let own = (limit / 4).clamp(8, limit.max(16) / 2);
-        Sockets { served: (limit - own).max(8), orders: (own / 3).max(1), kept: own / 3, store: (own / 6).max(2) }
+        SocketLimits {
+            inbound: (limit - own).max(8),
+            direct_calls: (own / 3).max(1),
+            idle: own / 3,
+            store_calls: (own / 6).max(2),
+        }
     }
 }
 
@@ -213,8 +218,8 @@
     max_jobs: Option<usize>,
     known_jobs: Option<usize>,
     sample: Option<usize>,
-    balance: Option<FileBalance>,
-    failover: Option<FileFailover>,
+    balance: Option<BalanceSection>,
+    failover: Option<FailoverSection>,
 }
 
 /// Reads and checks both files; an error is one line that names the file, the field
@@ -281,7 +286,7 @@
         None => MEMORY,
         Some(mb) => (count("facts.quota.mem_mb", mb)?.min(1e6) * 1e6) as usize,
     };
-    let sockets = Sockets::divide(facts.quota.max_sockets);
+    let sockets = SocketLimits::divide(facts.quota.max_sockets);
     let others = file.others.iter().map(|other| (&other.label, &other.location));
     let locations = others.chain([(&file.label, &file.location)]);
     let core = Facts {
@@ -298,24 +303,24 @@
         value_bytes: (limits.value_kb.min(1e6) * 1024.0) as usize,
         cloud_list_lag: positive("facts.cloud.list_lag_s", facts.cloud.list_lag_s)?,
         cloud_rps: count("facts.cloud.rps", facts.cloud.rps)?,
-        max_direct_calls: sockets.orders,
+        max_direct_calls: sockets.direct_calls,
         max_job_bytes: memory / JOBS_PART,
     };
     Ok(Settings {
-        nodes: peers.len() + 1,
+        node_count: peers.len() + 1,
         facts: core,
         policy,
         public_addr: file.public_addr,
         peer_bind: file.peer_bind,
         peers,
-        cloud: file.outside.cloud,
-        state: file.outside.state,
-        state_rps: facts.state.rps,
-        state_writes: facts.state.write_rps,
-        state_next: facts.state.next.as_ref().map(|_| (limits.rps, limits.write_rps)),
+        cloud_addr: file.outside.cloud,
+        store_addr: file.outside.state,
+        store_rps: facts.state.rps,
+        store_write_rps: facts.state.write_rps,
+        upcoming_store_rates: facts.state.next.as_ref().map(|_| (limits.rps, limits.write_rps)),
         cloud_rps: facts.cloud.rps,
         sockets,
-        body_bytes: memory / BODIES_PART,
+        max_body_bytes: memory / BODIES_PART,
     })
 }
 
@@ -368,7 +373,7 @@
     whole("max_jobs", file.max_jobs, 1, 1_000_000, &mut policy.max_jobs)?;
     whole("known_jobs", file.known_jobs, 100, 10_000_000, &mut policy.job_cache_size)?;
     whole("sample", file.sample, 1, 100_000, &mut policy.placement_sample)?;
-    policy.balance = file.balance.map(FileBalance::into_settings).transpose()?.flatten();
-    policy.failover = file.failover.map(FileFailover::into_settings).transpose()?.flatten();
+    policy.balance = file.balance.map(BalanceSection::into_settings).transpose()?.flatten();
+    policy.failover = file.failover.map(FailoverSection::into_settings).transpose()?.flatten();
     Ok(policy)
 }
--- a/crates/rushyoke/src/settings/balance.rs
+++ b/crates/rushyoke/src/settings/balance.rs
@@ -12,7 +12,7 @@
 /// What operators set; what is left out keeps its default. Off unless `enabled` is true.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub(super) struct FileBalance {
+pub(super) struct BalanceSection {
     enabled: bool,
     crowding_share: Option<f64>,
     service_horizon_s: Option<f64>,
@@ -30,7 +30,7 @@
     protected: Vec<String>,
 }
 
-impl FileBalance {
+impl BalanceSection {
     /// The checked settings, if load spreading is on. They are checked also while it is off.
     pub(super) fn into_settings(self) -> Result<Option<BalanceSettings>, String> {
         let mut settings = BalanceSettings::default();
--- a/crates/rushyoke/src/settings/failover.rs
+++ b/crates/rushyoke/src/settings/failover.rs
@@ -12,9 +12,9 @@
 /// What operators set; what is left out keeps its default. Off unless `enabled` is true.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub(super) struct FileFailover {
+pub(super) struct FailoverSection {
     enabled: bool,
-    tiers: Vec<FileTier>,
+    tiers: Vec<TierEntry>,
     careful_tiers: Vec<String>,
     least_machines: Option<usize>,
     suspect_share: Option<f64>,
@@ -35,12 +35,12 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct FileTier {
+struct TierEntry {
     name: String,
     classes: Vec<String>,
 }
 
-impl FileFailover {
+impl FailoverSection {
     /// The checked settings, if failover is on. They are checked also while it is off.
     pub(super) fn into_settings(self) -> Result<Option<FailoverSettings>, String> {
         let enabled = self.enabled;
@@ -73,7 +73,7 @@
         for (name, value, target) in times {
             *target = value.map_or(Ok(*target), |value| seconds(name, value))?;
         }
-        settings.tiers = self.tiers.into_iter().map(|FileTier { name, classes }| Tier { name, classes }).collect();
+        settings.tiers = self.tiers.into_iter().map(|TierEntry { name, classes }| Tier { name, classes }).collect();
         settings.max_reruns = self.max_reruns;
         let names = |setting, what, listed: &[String]| {
             FailoverSettings::names(setting, what, listed).map_err(|error| error.to_string())
--- a/crates/rushyoke/src/stats.rs
+++ b/crates/rushyoke/src/stats.rs
@@ -11,11 +11,11 @@
 
 /// What is measured.
 #[derive(Clone, Copy)]
-pub enum Delay {
+pub enum Latency {
     /// From a submission's arrival to its answer.
-    Accept = 0,
+    Submission = 0,
     /// Calls to the state service, watches apart.
-    State = 1,
+    Store = 1,
     /// Calls to the cloud.
     Cloud = 2,
     /// Direct orders to workers.
@@ -38,19 +38,19 @@
 
 /// What the processor works on, counted.
 #[derive(Clone, Copy)]
-pub enum Work {
+pub enum Counter {
     /// Workers' reports.
-    Report = 0,
+    Reports = 0,
     /// Requests of users.
-    User = 1,
+    UserRequests = 1,
     /// Health checks and the other controllers' questions.
-    Peer = 2,
+    PeerRequests = 2,
     /// Connections that others opened.
-    Accepted = 3,
+    ConnectionsAccepted = 3,
     /// Connections that this node opened.
-    Opened = 4,
+    ConnectionsOpened = 4,
     /// Reports that another node handed on.
-    Relayed = 5,
+    RelayedReports = 5,
 }
 
 const WORK: [&str; 6] = ["reports", "users", "peers", "accepted", "opened", "relayed"];
@@ -75,36 +75,36 @@
         }
     }
 
-    pub fn note(&mut self, what: Delay, delay: Duration) {
+    pub fn record_latency(&mut self, what: Latency, delay: Duration) {
         let ms = (delay.as_millis() as u64).clamp(1, LONGEST_MS);
         self.delays[what as usize].saturating_record(ms);
     }
 
-    pub fn relayed(&mut self, reports: usize) {
-        self.work[Work::Relayed as usize] += reports as u64;
+    pub fn count_relayed(&mut self, reports: usize) {
+        self.work[Counter::RelayedReports as usize] += reports as u64;
     }
 
-    pub fn count(&mut self, what: Work) {
+    pub fn increment(&mut self, what: Counter) {
         self.work[what as usize] += 1;
     }
 
     /// How often the process has waited so far, since it started.
-    pub fn waits(&mut self, waits: u64) {
+    pub fn set_parks(&mut self, waits: u64) {
         self.waits = waits;
     }
 
     /// A tick came so much later than it was due.
-    pub fn late(&mut self, by: Duration) {
+    pub fn record_tick_delay(&mut self, by: Duration) {
         self.late = self.late.max(by);
     }
 
     /// A request was turned away for want of room.
-    pub fn shed(&mut self) {
+    pub fn count_shed(&mut self) {
         self.shed += 1;
     }
 
     /// Writes the summary when it is due; `stops` tells those that await their effect, if this node leads.
-    pub fn tick(&mut self, now: Instant, stops: impl FnOnce() -> Option<PendingStops>) {
+    pub fn log_when_due(&mut self, now: Instant, stops: impl FnOnce() -> Option<PendingStops>) {
         if now.duration_since(self.since) < PERIOD {
             return;
         }
