--- a/crates/core/tests/esplash.rs
+++ b/crates/core/tests/esplash.rs
@@ -8,7 +8,7 @@
 use rushyoke_core::speculate::{
     Cell, Moments, Performance, expected_gain_s, groups, levels, minimum_level, remaining_s, straggler_value,
 };
-use rushyoke_testkit::{World, job};
+use rushyoke_testkit::{Simulation, job};
 use rushyoke_wire::job::JobStatus;
 
 fn vector(times: &[(&str, f64)]) -> Performance {
@@ -98,18 +98,18 @@
 
 #[test]
 fn a_task_on_a_slow_machine_is_restarted_once_elsewhere() {
-    let mut world = World::new(4);
-    world.run(Duration::from_secs(6));
+    let mut simulation = Simulation::new(4);
+    simulation.run(Duration::from_secs(6));
     // Run times differ a little from machine to machine; one is twenty times slower.
-    for (n, worker) in world.workers.values_mut().enumerate() {
-        worker.slow = 1.0 + 0.1 * n as f64;
+    for (n, worker) in simulation.workers.values_mut().enumerate() {
+        worker.slowdown = 1.0 + 0.1 * n as f64;
     }
-    world.workers.get_mut("n-000001").expect("up").slow = 20.0;
+    simulation.workers.get_mut("n-000001").expect("up").slowdown = 20.0;
     let mut spec = job(1, 32);
     spec.cpus = 2.0;
-    world.submit(0, spec);
+    simulation.submit(0, spec);
     // Untouched, the slow machine's tasks would take 200 s.
-    world.run(Duration::from_secs(120));
-    assert_eq!(world.state(0, "wk-000001"), Some(JobStatus::Done));
-    assert!(world.started > 32 && world.started <= 32 + 8, "{} starts", world.started);
+    simulation.run(Duration::from_secs(120));
+    assert_eq!(simulation.job_state(0, "wk-000001"), Some(JobStatus::Done));
+    assert!(simulation.started_tasks > 32 && simulation.started_tasks <= 32 + 8, "{} starts", simulation.started_tasks);
 }
--- a/crates/core/tests/failover/support.rs
+++ b/crates/core/tests/failover/support.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use rushyoke_core::{Facts, FailoverSettings, Policy, Team};
-use rushyoke_testkit::{World, facts, job, job_id, millis, secs, service};
+use rushyoke_testkit::{Simulation, facts, job, job_id, millis, secs, service};
 use rushyoke_wire::job::{JobSpec, JobStatus, Kind, Priority};
 
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
@@ -42,99 +42,102 @@
 }
 
 /// Machines that are up in three zones, a third in each, whose tasks run for long; the cloud has no more.
-pub fn fleet(machines: usize, policy: Policy) -> World {
+pub fn fleet(machines: usize, policy: Policy) -> Simulation {
     deployed(deployment(), machines, policy)
 }
 
-fn deployed(facts: Facts, machines: usize, policy: Policy) -> World {
-    let mut world = World::deployed(facts, machines, policy, &ZONES);
-    world.task_s = 300.0;
-    world.workers.values_mut().for_each(|worker| worker.run_s = 300.0);
+fn deployed(facts: Facts, machines: usize, policy: Policy) -> Simulation {
+    let mut simulation = Simulation::with_facts(facts, machines, policy, &ZONES);
+    simulation.task_duration_s = 300.0;
+    simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 300.0);
     // Workers report to the controller in their zone.
-    for worker in world.workers.values_mut() {
+    for worker in simulation.workers.values_mut() {
         worker.node = ZONES.iter().position(|zone| *zone == worker.zone).expect("a zone");
     }
-    world.cloud.capacity = machines as u32;
-    world.run(secs(6));
-    world
+    simulation.cloud.capacity = machines as u32;
+    simulation.run(secs(6));
+    simulation
 }
 
 /// The same with work on two thirds of it: services 1 and 2, array 3 of high priority, array 4 of none.
-pub fn at_work(machines: usize, policy: Policy) -> World {
+pub fn at_work(machines: usize, policy: Policy) -> Simulation {
     busy(fleet(machines, policy))
 }
 
 /// The same with leases that outlive the loss of two controllers, each of which a worker tries for 5 s.
-pub fn at_work_with_long_leases(machines: usize, policy: Policy) -> World {
+pub fn at_work_with_long_leases(machines: usize, policy: Policy) -> Simulation {
     busy(deployed(Facts { worker_lease: secs(18), cancel_limit: secs(40), ..deployment() }, machines, policy))
 }
 
-fn busy(mut world: World) -> World {
-    let machines = world.workers.len();
+fn busy(mut simulation: Simulation) -> Simulation {
+    let machines = simulation.workers.len();
     let cpus = machines as u32 * 16;
-    assert_eq!(world.submit(0, service(1, cpus / 12)), Some(201));
-    assert_eq!(world.submit(1, JobSpec { spread: true, ..service(2, cpus / 12) }), Some(201));
-    world.run(secs(2));
-    assert_eq!(world.submit(2, long(3, cpus / 4, Priority::High)), Some(201));
-    assert_eq!(world.submit(0, JobSpec { team: "blue".into(), ..long(4, cpus / 4, Priority::BestEffort) }), Some(201));
-    world.run(secs(6));
-    assert_eq!(running(&world), cpus as usize / 12 * 2 + cpus as usize / 4 * 2);
-    world
+    assert_eq!(simulation.submit(0, service(1, cpus / 12)), Some(201));
+    assert_eq!(simulation.submit(1, JobSpec { spread: true, ..service(2, cpus / 12) }), Some(201));
+    simulation.run(secs(2));
+    assert_eq!(simulation.submit(2, long(3, cpus / 4, Priority::High)), Some(201));
+    assert_eq!(
+        simulation.submit(0, JobSpec { team: "blue".into(), ..long(4, cpus / 4, Priority::BestEffort) }),
+        Some(201)
+    );
+    simulation.run(secs(6));
+    assert_eq!(running(&simulation), cpus as usize / 12 * 2 + cpus as usize / 4 * 2);
+    simulation
 }
 
-pub fn count(world: &World, id: u32) -> usize {
-    world.where_runs(&job_id(id)).len()
+pub fn count(simulation: &Simulation, id: u32) -> usize {
+    simulation.running_tasks(&job_id(id)).len()
 }
 
 /// Tasks of jobs 1 to 4 that run.
-pub fn running(world: &World) -> usize {
-    (1..5).map(|id| count(world, id)).sum()
+pub fn running(simulation: &Simulation) -> usize {
+    (1..5).map(|id| count(simulation, id)).sum()
 }
 
-pub fn machines_in(world: &World, zone: &str) -> Vec<String> {
-    world.workers.values().filter(|worker| worker.zone == zone).map(|worker| worker.name.clone()).collect()
+pub fn machines_in(simulation: &Simulation, zone: &str) -> Vec<String> {
+    simulation.workers.values().filter(|worker| worker.zone == zone).map(|worker| worker.name.clone()).collect()
 }
 
 /// Cuts a zone off from everything, its controller with it.
-pub fn cut(world: &mut World, zone: usize) {
-    world.cut.extend(machines_in(world, ZONES[zone]));
-    world.no_store.insert(zone);
-    world.no_peers.insert(zone);
-    world.no_workers.insert(zone);
+pub fn cut(simulation: &mut Simulation, zone: usize) {
+    simulation.partitioned_machines.extend(machines_in(simulation, ZONES[zone]));
+    simulation.partitioned_from_store.insert(zone);
+    simulation.partitioned_from_peers.insert(zone);
+    simulation.partitioned_from_workers.insert(zone);
 }
 
 /// Ends all cuts.
-pub fn restore(world: &mut World) {
-    world.cut.clear();
-    world.no_store.clear();
-    world.no_peers.clear();
-    world.no_workers.clear();
+pub fn restore(simulation: &mut Simulation) {
+    simulation.partitioned_machines.clear();
+    simulation.partitioned_from_store.clear();
+    simulation.partitioned_from_peers.clear();
+    simulation.partitioned_from_workers.clear();
 }
 
 /// A zone in which no controller leads.
-pub fn zone_without_leader(world: &World) -> usize {
-    (world.leader().expect("a leader") + 1) % 3
+pub fn zone_without_leader(simulation: &Simulation) -> usize {
+    (simulation.leader().expect("a leader") + 1) % 3
 }
 
 /// What the record says of a zone: its state and its episode.
-pub fn recorded(world: &World, zone: usize) -> Option<(String, u64)> {
-    let zones = world.store.rows.get(RECORD)?.0["zones"].as_array().expect("a list");
+pub fn recorded(simulation: &Simulation, zone: usize) -> Option<(String, u64)> {
+    let zones = simulation.store.rows.get(RECORD)?.0["zones"].as_array().expect("a list");
     let entry = zones.iter().find(|entry| entry["zone"] == ZONES[zone])?;
     Some((entry["state"].as_str().expect("a state").to_owned(), entry["episode"].as_u64().expect("a number")))
 }
 
-pub fn recorded_state(world: &World, zone: usize) -> String {
-    recorded(world, zone).map_or("healthy".into(), |(state, _)| state)
+pub fn recorded_state(simulation: &Simulation, zone: usize) -> String {
+    recorded(simulation, zone).map_or("healthy".into(), |(state, _)| state)
 }
 
 /// Lets time pass until a zone is recorded in a state; how long it took.
-pub fn until_state(world: &mut World, zone: usize, state: &str, limit: Duration) -> Duration {
-    let from = world.now;
-    while recorded_state(world, zone) != state {
-        assert!(world.now < from + limit, "zone {zone} is {}, not {state}", recorded_state(world, zone));
-        world.run(millis(100));
+pub fn until_state(simulation: &mut Simulation, zone: usize, state: &str, limit: Duration) -> Duration {
+    let from = simulation.now;
+    while recorded_state(simulation, zone) != state {
+        assert!(simulation.now < from + limit, "zone {zone} is {}, not {state}", recorded_state(simulation, zone));
+        simulation.run(millis(100));
     }
-    world.now - from
+    simulation.now - from
 }
 
 /// When each task began, each time.
@@ -145,15 +148,15 @@
 }
 
 impl Starts {
-    pub fn watch(&mut self, world: &mut World, time: Duration) {
-        let end = world.now + time;
-        while world.now < end {
-            world.run(millis(100).min(end - world.now));
-            let jobs: Vec<String> = world.specs.keys().cloned().collect();
+    pub fn watch(&mut self, simulation: &mut Simulation, time: Duration) {
+        let end = simulation.now + time;
+        while simulation.now < end {
+            simulation.run(millis(100).min(end - simulation.now));
+            let jobs: Vec<String> = simulation.specs.keys().cloned().collect();
             let mut runs = BTreeMap::new();
-            for (task, machine) in jobs.iter().flat_map(|job| world.where_runs(job)) {
+            for (task, machine) in jobs.iter().flat_map(|job| simulation.running_tasks(job)) {
                 if self.runs.get(&task) != Some(&machine) {
-                    self.began.push((world.now, task.clone(), machine.clone()));
+                    self.began.push((simulation.now, task.clone(), machine.clone()));
                 }
                 runs.insert(task, machine);
             }
@@ -186,26 +189,26 @@
 }
 
 /// Watches from now on: what runs already is not counted as begun.
-pub fn watching(world: &mut World) -> Starts {
+pub fn watching(simulation: &mut Simulation) -> Starts {
     let mut starts = Starts::default();
-    starts.watch(world, millis(100));
+    starts.watch(simulation, millis(100));
     starts.began.clear();
     starts
 }
 
 /// Troubles are over: all that was accepted and is wanted runs or ends, all else is gone.
-pub fn ends_well(world: &mut World) {
-    world.calm();
-    world.run(secs(30));
-    world.check_served();
-    for id in world.rules.accepted() {
-        let state = world.state(0, &id);
-        let there = world.where_runs(&id).len() as u32;
-        let spec = &world.specs[&id];
+pub fn ends_well(simulation: &mut Simulation) {
+    simulation.clear_faults();
+    simulation.run(secs(30));
+    simulation.check_recovered();
+    for id in simulation.checker.accepted_jobs() {
+        let state = simulation.job_state(0, &id);
+        let there = simulation.running_tasks(&id).len() as u32;
+        let spec = &simulation.specs[&id];
         match state {
             Some(JobStatus::Cancelled | JobStatus::Done) => assert_eq!(there, 0, "{id} is {state:?}"),
             _ if spec.kind == Kind::Service => assert_eq!(there, spec.tasks, "{id} is {state:?}"),
-            _ => assert_eq!(there + world.rules.finished(&id), spec.tasks, "{id} is {state:?}"),
+            _ => assert_eq!(there + simulation.checker.finished_tasks(&id), spec.tasks, "{id} is {state:?}"),
         }
     }
 }
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -3,50 +3,50 @@
 use std::collections::BTreeMap;
 
 use rushyoke_core::{Facts, Policy, Team};
-use rushyoke_testkit::{World, all, facts, job, job_id, secs, service};
+use rushyoke_testkit::{Simulation, all_in_state, facts, job, job_id, secs, service};
 use rushyoke_wire::job::{JobSpec, JobStatus};
 
 #[test]
 fn lower_limits_of_the_state_service_wedge_nothing() {
     // The version in production wrote large values; from a moment on they must be small.
-    let mut world = World::deployed(facts(0, 3), 5, Policy::default(), &["a", "b"]);
-    world.task_s = 20.0;
-    world.run(secs(6));
-    (1..5).for_each(|id| assert_eq!(world.submit(0, service(id, 14)), Some(201)));
+    let mut simulation = Simulation::with_facts(facts(0, 3), 5, Policy::default(), &["a", "b"]);
+    simulation.task_duration_s = 20.0;
+    simulation.run(secs(6));
+    (1..5).for_each(|id| assert_eq!(simulation.submit(0, service(id, 14)), Some(201)));
     let wide = |id| JobSpec { team: "blue".into(), cpus: 0.02, memory_gb: 0.1, ..job(id, 200) };
-    (5..8).for_each(|id| assert_eq!(world.submit(0, wide(id)), Some(201)));
-    world.run(secs(8));
-    let (rows, rules) = (std::mem::take(&mut world.store.rows), std::mem::take(&mut world.rules));
+    (5..8).for_each(|id| assert_eq!(simulation.submit(0, wide(id)), Some(201)));
+    simulation.run(secs(8));
+    let (rows, rules) = (std::mem::take(&mut simulation.store.rows), std::mem::take(&mut simulation.checker));
     let largest = rows.values().map(|(value, ..)| value.to_string().len()).max();
     assert!(largest > Some(2048), "there are large values: {largest:?}");
     let lower = Facts { value_bytes: 2048, txn_ops: 5, ..facts(0, 3) };
-    let mut world = World::deployed(lower, 5, Policy::default(), &["a", "b"]);
-    world.task_s = 20.0;
-    world.check_every = 3;
-    world.workers.values_mut().for_each(|worker| worker.run_s = 20.0);
-    (1..5).for_each(|id| drop(world.specs.insert(job_id(id), service(id, 14))));
-    (5..8).for_each(|id| drop(world.specs.insert(job_id(id), wide(id))));
-    world.rules = rules;
-    world.store.rows = rows.into_iter().filter(|(key, _)| key != "lead").collect();
-    world.store.revision = world.store.rows.values().map(|row| row.1).max().unwrap_or_default();
-    (world.store.max_ops, world.store.max_value) = (5, 2048);
-    world.run(secs(50));
-    assert_eq!(world.submit(1, JobSpec { dependencies: vec![job_id(5), job_id(6)], ..job(10, 5) }), Some(201));
+    let mut simulation = Simulation::with_facts(lower, 5, Policy::default(), &["a", "b"]);
+    simulation.task_duration_s = 20.0;
+    simulation.steps_per_check = 3;
+    simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 20.0);
+    (1..5).for_each(|id| drop(simulation.specs.insert(job_id(id), service(id, 14))));
+    (5..8).for_each(|id| drop(simulation.specs.insert(job_id(id), wide(id))));
+    simulation.checker = rules;
+    simulation.store.rows = rows.into_iter().filter(|(key, _)| key != "lead").collect();
+    simulation.store.revision = simulation.store.rows.values().map(|row| row.1).max().unwrap_or_default();
+    (simulation.store.max_txn_writes, simulation.store.max_value_bytes) = (5, 2048);
+    simulation.run(secs(50));
+    assert_eq!(simulation.submit(1, JobSpec { dependencies: vec![job_id(5), job_id(6)], ..job(10, 5) }), Some(201));
     let questions: Vec<String> = (1..40).map(job_id).collect();
-    assert_eq!(world.ask_all(0, &questions).len(), 39, "more than one comparison takes");
-    assert!(world.cancel(1, &job_id(4)).is_some());
+    assert_eq!(simulation.statuses_of_all(0, &questions).len(), 39, "more than one comparison takes");
+    assert!(simulation.cancel(1, &job_id(4)).is_some());
     for _ in 0..4 {
-        let leader = world.leader().expect("a lead");
-        world.crash(leader);
-        world.run(secs(6));
-        world.start_node(leader);
-        world.run(secs(25));
+        let leader = simulation.leader().expect("a lead");
+        simulation.crash_node(leader);
+        simulation.run(secs(6));
+        simulation.start_node(leader);
+        simulation.run(secs(25));
     }
-    world.run(secs(60));
-    assert_eq!(world.states(1, 5..=7), all(JobStatus::Done, 3));
-    assert_eq!(world.states(2, 10..=10), all(JobStatus::Done, 1));
-    (1..4).for_each(|id| assert_eq!(world.where_runs(&job_id(id)).len(), 14));
-    assert!(world.where_runs(&job_id(4)).is_empty());
+    simulation.run(secs(60));
+    assert_eq!(simulation.job_states(1, 5..=7), all_in_state(JobStatus::Done, 3));
+    assert_eq!(simulation.job_states(2, 10..=10), all_in_state(JobStatus::Done, 1));
+    (1..4).for_each(|id| assert_eq!(simulation.running_tasks(&job_id(id)).len(), 14));
+    assert!(simulation.running_tasks(&job_id(4)).is_empty());
 }
 
 #[test]
@@ -54,37 +54,37 @@
     // Half of each page's tasks run on, so that no page fits, and every segment is half empty.
     let lower = Facts { value_bytes: 1024, txn_ops: 5, ..facts(0, 3) };
     let policy = Policy { speculation: false, ..Policy::default() };
-    let mut world = World::deployed(lower, 4, policy, &["a"]);
-    (world.store.max_ops, world.store.max_value) = (5, 1024);
+    let mut simulation = Simulation::with_facts(lower, 4, policy, &["a"]);
+    (simulation.store.max_txn_writes, simulation.store.max_value_bytes) = (5, 1024);
     // As after a long life: attempts have many digits.
-    world.store.revision = 1_000_000_000;
-    world.check_every = 5;
-    world.workers.values_mut().for_each(|worker| worker.run_s = 900.0);
-    world.run(secs(6));
+    simulation.store.revision = 1_000_000_000;
+    simulation.steps_per_check = 5;
+    simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 900.0);
+    simulation.run(secs(6));
     let small = |id| JobSpec { cpus: 0.02, memory_gb: 0.02, ..job(id, 80) };
-    (1..25).for_each(|id| assert_eq!(world.submit(0, small(id)), Some(201)));
-    world.run(secs(60));
-    let segments = |world: &World| world.store.rows.keys().filter(|key| key.starts_with("log/")).count();
-    let before = segments(&world);
+    (1..25).for_each(|id| assert_eq!(simulation.submit(0, small(id)), Some(201)));
+    simulation.run(secs(60));
+    let segments = |simulation: &Simulation| simulation.store.rows.keys().filter(|key| key.starts_with("log/")).count();
+    let before = segments(&simulation);
     assert!(before > 170, "{before} segments");
-    for worker in world.workers.values_mut() {
+    for worker in simulation.workers.values_mut() {
         for task in &mut worker.tasks {
             let (_, number) = task.name.rsplit_once('/').expect("a task's name");
             if number.parse::<u32>().is_ok_and(|number| number % 2 == 1) {
-                task.until = world.now;
+                task.state_ends_at = simulation.now;
             }
         }
     }
-    world.run(secs(90));
-    assert_eq!(world.rules.finished(&job_id(1)), 40);
-    let after = segments(&world);
+    simulation.run(secs(90));
+    assert_eq!(simulation.checker.finished_tasks(&job_id(1)), 40);
+    let after = segments(&simulation);
     assert!(after < 150, "{before} segments, then {after}");
     // A new leader finds every task where it is.
-    let leader = world.leader().expect("a leader");
-    world.crash(leader);
-    world.run(secs(20));
-    assert_eq!(world.started, 24 * 80, "nothing began twice");
-    assert_eq!(world.where_runs(&job_id(7)).len(), 40);
+    let leader = simulation.leader().expect("a leader");
+    simulation.crash_node(leader);
+    simulation.run(secs(20));
+    assert_eq!(simulation.started_tasks, 24 * 80, "nothing began twice");
+    assert_eq!(simulation.running_tasks(&job_id(7)).len(), 40);
 }
 
 #[test]
@@ -95,14 +95,15 @@
     let mut nearly_full = 0;
     for tasks in 155..175 {
         let facts = Facts { teams: BTreeMap::from([("red".into(), team.clone())]), ..facts(0, 3) };
-        let mut world = World::deployed(facts, 12, Policy { service_reserve: 0.0, ..Policy::default() }, &["a"]);
-        world.task_s = 300.0;
-        world.workers.values_mut().for_each(|worker| worker.run_s = 300.0);
-        world.run(secs(6));
-        assert_eq!(world.submit(0, JobSpec { spot: false, ..job(1, tasks) }), Some(201));
-        world.run(secs(8));
-        assert_eq!(world.where_runs(&job_id(1)).len() as u32, tasks, "some of {tasks} tasks never start");
-        nearly_full += usize::from(world.store.rows.keys().filter(|key| key.starts_with("log/")).count() > 1);
+        let mut simulation =
+            Simulation::with_facts(facts, 12, Policy { service_reserve: 0.0, ..Policy::default() }, &["a"]);
+        simulation.task_duration_s = 300.0;
+        simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 300.0);
+        simulation.run(secs(6));
+        assert_eq!(simulation.submit(0, JobSpec { spot: false, ..job(1, tasks) }), Some(201));
+        simulation.run(secs(8));
+        assert_eq!(simulation.running_tasks(&job_id(1)).len() as u32, tasks, "some of {tasks} tasks never start");
+        nearly_full += usize::from(simulation.store.rows.keys().filter(|key| key.starts_with("log/")).count() > 1);
     }
     assert!((1..20).contains(&nearly_full), "{nearly_full} jobs of 20 need a second segment");
 }
--- a/crates/core/tests/soak.rs
+++ b/crates/core/tests/soak.rs
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rushyoke_core::{BalanceSettings, Facts, FailoverSettings, Policy};
-use rushyoke_testkit::{Unreachable, World, facts, job, job_id, millis, secs, service};
+use rushyoke_testkit::{MachineFault, Simulation, facts, job, job_id, millis, secs, service};
 use rushyoke_wire::job::{JobSpec, JobStatus};
 
 const CI_SEEDS: Range<u64> = 301..421;
@@ -27,7 +27,7 @@
     /// A machine gets out of reach for so long.
     Unreachable {
         machine: String,
-        way: Unreachable,
+        way: MachineFault,
         lasts: Duration,
     },
     /// It is reached again.
@@ -52,19 +52,19 @@
 }
 
 /// Those that hold packets back, which is what lets old messages meet new ones, are drawn more often.
-const WAYS: [Unreachable; 12] = [
-    Unreachable::HeldConnected,
-    Unreachable::HeldUnconnected,
-    Unreachable::HeldUnconnected,
-    Unreachable::HeldUnconnected,
-    Unreachable::HeldUnconnected,
-    Unreachable::Cut,
-    Unreachable::Deaf,
-    Unreachable::Mute,
-    Unreachable::Hangs,
-    Unreachable::OrdersHeld,
-    Unreachable::ReportsHeld,
-    Unreachable::LinkCut { node: 0 },
+const WAYS: [MachineFault; 12] = [
+    MachineFault::InterruptedWithOpenConnections,
+    MachineFault::InterruptedWithoutConnections,
+    MachineFault::InterruptedWithoutConnections,
+    MachineFault::InterruptedWithoutConnections,
+    MachineFault::InterruptedWithoutConnections,
+    MachineFault::Partitioned,
+    MachineFault::InboundLost,
+    MachineFault::ReportsLost,
+    MachineFault::Frozen,
+    MachineFault::OrdersDelayed,
+    MachineFault::ReportsDelayed,
+    MachineFault::LinkPartitioned { node: 0 },
 ];
 
 /// Intervals, leases and times for cancelled jobs as deployments have them.
@@ -94,7 +94,7 @@
 
 /// Draws what happens, and when: cancellations about the time at which machines get out of reach, outages and a
 /// change of leader about the time at which they are reached again.
-fn meeting(rng: &mut StdRng, world: &World, facts: &Facts) -> Vec<(Duration, Event)> {
+fn meeting(rng: &mut StdRng, simulation: &Simulation, facts: &Facts) -> Vec<(Duration, Event)> {
     let mut events = Vec::new();
     let lease = facts.worker_lease;
     let begins = secs(6);
@@ -103,7 +103,7 @@
     // Half of them for nearly as long as a lease lasts, which leaves it just time to be renewed.
     let shortest = if rng.random_range(0..2) == 0 { lease.mul_f64(0.7) } else { secs(1) };
     let lasts = between(rng, shortest, lease);
-    for machine in world.workers.keys() {
+    for machine in simulation.workers.keys() {
         if rng.random_range(0..3) == 0 {
             continue;
         }
@@ -149,31 +149,31 @@
 }
 
 /// Brings an event about.
-fn happen(world: &mut World, event: Event) {
-    let leader = world.leader().unwrap_or_default();
+fn happen(simulation: &mut Simulation, event: Event) {
+    let leader = simulation.leader().unwrap_or_default();
     match event {
-        Event::Unreachable { machine, way: Unreachable::LinkCut { .. }, lasts } => {
-            world.lose(&machine, Unreachable::LinkCut { node: leader }, lasts);
+        Event::Unreachable { machine, way: MachineFault::LinkPartitioned { .. }, lasts } => {
+            simulation.inject_fault(&machine, MachineFault::LinkPartitioned { node: leader }, lasts);
         }
-        Event::Unreachable { machine, way, lasts } => world.lose(&machine, way, lasts),
-        Event::Reachable { machine } => world.regain(&machine),
-        Event::Cancel { job, node } => drop(world.cancel(node, &job_id(job))),
+        Event::Unreachable { machine, way, lasts } => simulation.inject_fault(&machine, way, lasts),
+        Event::Reachable { machine } => simulation.clear_fault(&machine),
+        Event::Cancel { job, node } => drop(simulation.cancel(node, &job_id(job))),
         Event::Submit { node } => {
             let urgent = JobSpec { cpus: 2.0, ..service(JOBS + 1, 12) };
-            world.ask_submit(node, urgent);
+            simulation.send_submission(node, urgent);
         }
-        Event::StoreOutage => world.store.outage = true,
-        Event::CloudOutage => world.cloud.outage = true,
+        Event::StoreOutage => simulation.store.outage = true,
+        Event::CloudOutage => simulation.cloud.outage = true,
         Event::StoreBack => {
-            let now = world.now;
-            world.store.end_outage(now);
+            let now = simulation.now;
+            simulation.store.end_outage(now);
         }
-        Event::CloudBack => world.cloud.outage = false,
-        Event::LeaderEnds => world.crash(leader),
-        Event::LeaderRefusedAlone => drop(world.no_store.insert(leader)),
+        Event::CloudBack => simulation.cloud.outage = false,
+        Event::LeaderEnds => simulation.crash_node(leader),
+        Event::LeaderRefusedAlone => drop(simulation.partitioned_from_store.insert(leader)),
         Event::LeaderWithoutPeers => {
-            world.no_store.insert(leader);
-            world.no_peers.insert(leader);
+            simulation.partitioned_from_store.insert(leader);
+            simulation.partitioned_from_peers.insert(leader);
         }
     }
 }
@@ -181,35 +181,35 @@
 fn soak(seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let facts = deployments()[seed as usize % 4].clone();
-    let mut world = World::deployed(facts.clone(), MACHINES, policy(seed), &["a", "b"]);
-    world.task_s = 200.0;
-    world.workers.values_mut().for_each(|worker| worker.run_s = 200.0);
-    world.run(secs(8));
+    let mut simulation = Simulation::with_facts(facts.clone(), MACHINES, policy(seed), &["a", "b"]);
+    simulation.task_duration_s = 200.0;
+    simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 200.0);
+    simulation.run(secs(8));
     for number in 1..=JOBS {
         let tasks = rng.random_range(2..=8);
         let saves = if rng.random_range(0..2) == 0 { 5.0 } else { 0.0 };
         let spec = if number % 2 == 0 { service(number, tasks.min(4)) } else { job(number, tasks) };
-        world.submit(0, JobSpec { checkpoint_interval_s: saves, save_s: saves, ..spec });
+        simulation.submit(0, JobSpec { checkpoint_interval_s: saves, save_s: saves, ..spec });
     }
-    world.run(secs(8));
-    let began = world.now;
-    for (at, event) in meeting(&mut rng, &world, &facts) {
+    simulation.run(secs(8));
+    let began = simulation.now;
+    for (at, event) in meeting(&mut rng, &simulation, &facts) {
         // What the event before took, such as a cancellation that waited for its answer, may have passed it.
-        world.run((began + at).saturating_sub(world.now));
-        happen(&mut world, event);
+        simulation.run((began + at).saturating_sub(simulation.now));
+        happen(&mut simulation, event);
     }
-    world.run(facts.cancel_limit + secs(5));
+    simulation.run(facts.cancel_limit + secs(5));
     for node in 0..3 {
-        if !world.runs_node(node) {
-            world.start_node(node);
+        if !simulation.is_node_running(node) {
+            simulation.start_node(node);
         }
     }
-    world.calm();
-    world.run(secs(40));
+    simulation.clear_faults();
+    simulation.run(secs(40));
     for number in 1..=JOBS {
         let id = job_id(number);
-        let running = world.where_runs(&id).len();
-        match world.state(0, &id) {
+        let running = simulation.running_tasks(&id).len();
+        match simulation.job_state(0, &id) {
             Some(JobStatus::Cancelled | JobStatus::Done) => assert_eq!(running, 0, "seed {seed}: {id} is over"),
             Some(_) => assert!(running > 0, "seed {seed}: nothing of {id} runs"),
             None => panic!("seed {seed}: no answer about {id}"),
--- a/crates/core/tests/upgrade.rs
+++ b/crates/core/tests/upgrade.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use rushyoke_testkit::{Task, World, all, dependent, job, job_id, secs, service};
+use rushyoke_testkit::{Simulation, Task, all_in_state, dependent_job, job, job_id, secs, service};
 use rushyoke_wire::job::{JobSpec, JobStatus, Kind};
 use rushyoke_wire::peer::{PeerRequest, PeerResponse, RelayRequest, RelayResponse, decode, encode};
 use rushyoke_wire::worker::TaskState;
@@ -40,37 +40,37 @@
     }
 
     /// A world that holds these records, with the tasks that they place on its machines at work.
-    fn taken_over(&self) -> World {
-        let mut world = World::new(8);
+    fn taken_over(&self) -> Simulation {
+        let mut simulation = Simulation::new(8);
         for (key, (value, version)) in self.rows().into_iter().filter(|(key, _)| key != "lead") {
-            world.store.revision = world.store.revision.max(version);
+            simulation.store.revision = simulation.store.revision.max(version);
             if let Some(id) = key.strip_prefix("job/") {
                 let tasks = value["tasks"].as_u64().expect("a number") as u32;
-                world.rules.earlier(id, tasks, value["state"] == "done");
+                simulation.checker.add_earlier_job(id, tasks, value["state"] == "done");
                 if value["state"] == "cancelled" {
-                    world.rules.earlier_cancelled(id, world.now);
-                    world.cancelled.insert(id.into(), world.now);
+                    simulation.checker.add_earlier_cancellation(id, simulation.now);
+                    simulation.cancelled.insert(id.into(), simulation.now);
                 }
             }
             if let Some(id) = key.strip_prefix("live/") {
                 let spec: JobSpec = serde_json::from_value(value["spec"].clone()).expect("a description");
-                world.rules.earlier_awaits(id, &spec.dependencies);
-                world.specs.insert(id.into(), spec);
+                simulation.checker.add_earlier_dependencies(id, &spec.dependencies);
+                simulation.specs.insert(id.into(), spec);
             }
             if key.starts_with("log/") {
-                place_tasks(&mut world, &value);
+                place_tasks(&mut simulation, &value);
             }
-            world.store.rows.insert(key, (value, version, None));
+            simulation.store.rows.insert(key, (value, version, None));
         }
-        let specs = &world.specs;
-        for worker in world.workers.values_mut() {
+        let specs = &simulation.specs;
+        for worker in simulation.workers.values_mut() {
             // What ended since it was placed is not there any more.
             worker.tasks.retain(|task| specs.contains_key(job_of(task)));
             for task in worker.tasks.iter_mut().filter(|task| specs[job_of(task)].kind == Kind::Service) {
-                task.until = Duration::MAX;
+                task.state_ends_at = Duration::MAX;
             }
         }
-        world
+        simulation
     }
 }
 
@@ -79,17 +79,17 @@
 }
 
 /// Puts the tasks to work that a segment of the log places.
-fn place_tasks(world: &mut World, segment: &Value) {
+fn place_tasks(simulation: &mut Simulation, segment: &Value) {
     for changed in segment["jobs"].as_array().expect("jobs") {
         for place in changed["places"].as_array().into_iter().flatten() {
             let machine = &segment["machines"][place[1].as_u64().expect("an index") as usize][0];
-            let worker = world.workers.get_mut(machine.as_str().expect("a name")).expect("it is up");
+            let worker = simulation.workers.get_mut(machine.as_str().expect("a name")).expect("it is up");
             worker.tasks.push(Task {
                 name: format!("{}/{}", changed["job"].as_str().expect("an id"), place[0]),
                 attempt: place[2].as_u64().expect("an attempt"),
                 state: TaskState::Running,
-                why: None,
-                until: world.now + secs(9),
+                cause: None,
+                state_ends_at: simulation.now + secs(9),
             });
         }
     }
@@ -97,42 +97,42 @@
 
 #[test]
 fn records_of_a_version_before_awaits_are_taken_over() {
-    let mut world = Fixture::before_awaits().taken_over();
-    world.run(secs(8));
-    let begun = world.started;
+    let mut simulation = Fixture::before_awaits().taken_over();
+    simulation.run(secs(8));
+    let begun = simulation.started_tasks;
     assert!(begun >= 10, "its tasks are at work");
-    assert!(world.where_runs(&job_id(4)).is_empty(), "what it cancelled is stopped");
-    assert_eq!((world.where_runs(&job_id(1)).len(), world.where_runs(&job_id(7)).len()), (3, 2));
-    assert_eq!(world.submit(1, JobSpec { dependencies: vec![job_id(6), job_id(2)], ..job(40, 2) }), Some(201));
-    assert_eq!(world.submit(2, service(1, 3)), Some(200));
-    world.run(secs(25));
+    assert!(simulation.running_tasks(&job_id(4)).is_empty(), "what it cancelled is stopped");
+    assert_eq!((simulation.running_tasks(&job_id(1)).len(), simulation.running_tasks(&job_id(7)).len()), (3, 2));
+    assert_eq!(simulation.submit(1, JobSpec { dependencies: vec![job_id(6), job_id(2)], ..job(40, 2) }), Some(201));
+    assert_eq!(simulation.submit(2, service(1, 3)), Some(200));
+    simulation.run(secs(25));
     for id in [2, 3, 5, 6, 29, 40] {
-        assert_eq!(world.state(id as usize % 3, &job_id(id)), Some(JobStatus::Done), "job {id}");
+        assert_eq!(simulation.job_state(id as usize % 3, &job_id(id)), Some(JobStatus::Done), "job {id}");
     }
-    assert_eq!(world.state(0, &job_id(4)), Some(JobStatus::Cancelled));
-    assert_eq!(world.started, begun + 2, "nothing began twice");
+    assert_eq!(simulation.job_state(0, &job_id(4)), Some(JobStatus::Cancelled));
+    assert_eq!(simulation.started_tasks, begun + 2, "nothing began twice");
 }
 
 #[test]
 fn records_of_the_first_version_with_awaits_are_taken_over() {
     // Job 3, whose dependency is done, runs; 4 awaits it, and 9 awaits 4. Job 5 was cancelled when
     // nobody led, so 6 and 8 are still open in their records.
-    let mut world = Fixture::with_awaits().taken_over();
-    world.run(secs(7));
-    assert_eq!(world.where_runs(&job_id(3)).len(), 4, "it runs on");
-    assert_eq!(world.where_runs(&job_id(1)).len(), 3);
-    assert_eq!(world.started, 3 + 4 + 4 + 2, "what ran is found, and nothing else begins");
+    let mut simulation = Fixture::with_awaits().taken_over();
+    simulation.run(secs(7));
+    assert_eq!(simulation.running_tasks(&job_id(3)).len(), 4, "it runs on");
+    assert_eq!(simulation.running_tasks(&job_id(1)).len(), 3);
+    assert_eq!(simulation.started_tasks, 3 + 4 + 4 + 2, "what ran is found, and nothing else begins");
     for node in 0..3 {
-        assert_eq!(world.states(node, 5..=8), all(JobStatus::Cancelled, 4));
+        assert_eq!(simulation.job_states(node, 5..=8), all_in_state(JobStatus::Cancelled, 4));
     }
-    assert_eq!(world.submit(1, dependent(4, 3, &[3, 2])), Some(200));
-    assert_eq!(world.submit(2, dependent(10, 2, &[9, 2])), Some(201));
-    world.run(secs(60));
+    assert_eq!(simulation.submit(1, dependent_job(4, 3, &[3, 2])), Some(200));
+    assert_eq!(simulation.submit(2, dependent_job(10, 2, &[9, 2])), Some(201));
+    simulation.run(secs(60));
     for number in [2, 3, 4, 9, 10] {
-        assert_eq!(world.state(number as usize % 3, &job_id(number)), Some(JobStatus::Done), "job {number}");
+        assert_eq!(simulation.job_state(number as usize % 3, &job_id(number)), Some(JobStatus::Done), "job {number}");
     }
-    assert_eq!(world.rules.awaited_starts, 4 + 3 * 2 + 2 + 2 * 2, "the order was checked");
-    let live = |id: u32| world.store.rows.contains_key(&format!("live/{}", job_id(id)));
+    assert_eq!(simulation.checker.dependent_starts, 4 + 3 * 2 + 2 + 2 * 2, "the order was checked");
+    let live = |id: u32| simulation.store.rows.contains_key(&format!("live/{}", job_id(id)));
     assert!((2..=10).all(|id| !live(id)), "all else is closed");
 }
 
@@ -170,18 +170,18 @@
 
 #[test]
 fn records_have_the_fields_that_earlier_versions_read() {
-    let mut world = World::new(3);
-    world.run(secs(6));
-    world.submit(0, service(1, 3));
-    world.submit(1, job(2, 100));
-    world.submit(2, JobSpec { dependencies: vec![job_id(2)], ..job(3, 2) });
-    world.run(secs(14));
-    world.submit(0, service(4, 2));
-    world.run(secs(3));
-    world.cancel(1, &job_id(4));
+    let mut simulation = Simulation::new(3);
+    simulation.run(secs(6));
+    simulation.submit(0, service(1, 3));
+    simulation.submit(1, job(2, 100));
+    simulation.submit(2, JobSpec { dependencies: vec![job_id(2)], ..job(3, 2) });
+    simulation.run(secs(14));
+    simulation.submit(0, service(4, 2));
+    simulation.run(secs(3));
+    simulation.cancel(1, &job_id(4));
     let kind = |key: &str| key.split('/').next().unwrap_or_default().to_owned();
     let mut ours = BTreeSet::new();
-    for (key, (value, ..)) in &world.store.rows {
+    for (key, (value, ..)) in &simulation.store.rows {
         fields(value, &kind(key), &mut ours);
     }
     // What is new is what a version ignores, or what no task happened to be in; all that it needs is there.
@@ -205,16 +205,16 @@
 fn what_an_earlier_version_drops_from_a_record_is_not_missed() {
     // It confirms a cancellation and writes both records anew, without the field that it does not
     // know; the job's dependents end with it, and itself needs nothing any more.
-    let mut world = World::new(2);
-    world.run(secs(6));
-    world.workers.values_mut().for_each(|worker| worker.run_s = 30.0);
-    world.submit(0, job(1, 2));
-    world.submit(1, JobSpec { dependencies: vec![job_id(1)], ..job(2, 2) });
-    world.submit(2, JobSpec { dependencies: vec![job_id(2)], ..job(3, 2) });
-    world.run(secs(2));
-    let leader = world.leader().expect("a leader");
-    world.crash(leader);
-    let (mut live, version, _) = world.store.rows["live/wk-000002"].clone();
+    let mut simulation = Simulation::new(2);
+    simulation.run(secs(6));
+    simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 30.0);
+    simulation.submit(0, job(1, 2));
+    simulation.submit(1, JobSpec { dependencies: vec![job_id(1)], ..job(2, 2) });
+    simulation.submit(2, JobSpec { dependencies: vec![job_id(2)], ..job(3, 2) });
+    simulation.run(secs(2));
+    let leader = simulation.leader().expect("a leader");
+    simulation.crash_node(leader);
+    let (mut live, version, _) = simulation.store.rows["live/wk-000002"].clone();
     live["cancelled"] = true.into();
     live["spec"].as_object_mut().expect("a description").remove("awaits");
     let record = serde_json::json!({ "state": "cancelled", "tasks": 2 });
@@ -223,18 +223,18 @@
         .when("live/wk-000002", version)
         .put("job/wk-000002", record)
         .put("live/wk-000002", live);
-    let now = world.now;
-    let answer = world.store.execute(now, &rushyoke_core::StoreOp::Txn(txn));
+    let now = simulation.now;
+    let answer = simulation.store.execute(now, &rushyoke_core::StoreOp::Txn(txn));
     assert!(matches!(answer, rushyoke_core::StoreResponse::Committed(_)));
-    world.rules.unwanted(&job_id(2));
-    world.run(secs(2));
-    world.start_node(leader);
-    world.run(secs(8));
+    simulation.checker.record_cancel_request(&job_id(2));
+    simulation.run(secs(2));
+    simulation.start_node(leader);
+    simulation.run(secs(8));
     for node in 0..3 {
-        assert_eq!(world.state(node, &job_id(2)), Some(JobStatus::Cancelled));
-        assert_eq!(world.state(node, &job_id(3)), Some(JobStatus::Cancelled));
+        assert_eq!(simulation.job_state(node, &job_id(2)), Some(JobStatus::Cancelled));
+        assert_eq!(simulation.job_state(node, &job_id(3)), Some(JobStatus::Cancelled));
     }
-    world.run(secs(30));
-    assert_eq!(world.state(0, &job_id(1)), Some(JobStatus::Done));
-    assert!(world.store.rows.keys().all(|key| !key.starts_with("live/")));
+    simulation.run(secs(30));
+    assert_eq!(simulation.job_state(0, &job_id(1)), Some(JobStatus::Done));
+    assert!(simulation.store.rows.keys().all(|key| !key.starts_with("live/")));
 }
--- a/crates/testkit/examples/loopback.rs
+++ b/crates/testkit/examples/loopback.rs
@@ -15,28 +15,28 @@
 
 use rushyoke_testkit::{job, service};
 use rushyoke_wire::job::JobSpec;
-use support::{NODES, Setup, World};
+use support::{NODE_COUNT, Setup, Testbed};
 use tokio::time::sleep;
 
 async fn play(seconds: u64, machines: u32, load: f64, task_s: f64) {
     let setup = Setup {
         // A report each 1.5 s to about a thousand machines, fewer beyond: the stand-ins are one thread.
-        report: Duration::from_millis(1500) * machines.div_ceil(1000),
-        lease: Duration::from_secs(20),
-        task_s,
-        boot: Duration::from_secs(8),
+        report_interval: Duration::from_millis(1500) * machines.div_ceil(1000),
+        worker_lease: Duration::from_secs(20),
+        task_duration_s: task_s,
+        boot_time: Duration::from_secs(8),
         capacity: machines,
         teams: vec![("red", 4000.0, f64::from(machines) * 16.0)],
-        sockets: 1200.max(machines as usize * 3),
-        memory_mb: 64.0 + f64::from(machines) / 8.0,
-        policy: std::env::var_os("POLICY").map(Into::into),
+        max_sockets: 1200.max(machines as usize * 3),
+        max_memory_mb: 64.0 + f64::from(machines) / 8.0,
+        policy_file: std::env::var_os("POLICY").map(Into::into),
     };
-    let world = World::serve(setup, 0).await;
-    let mut nodes: Vec<Child> = (0..NODES).map(|node| world.start(node)).collect();
+    let testbed = Testbed::start(setup, 0).await;
+    let mut nodes: Vec<Child> = (0..NODE_COUNT).map(|node| testbed.start_controller(node)).collect();
     sleep(Duration::from_secs(2)).await;
     let mut id = 0;
     let mut due = 20.0;
-    let mut before = [(0.0, 0.0, 0.0); NODES];
+    let mut before = [(0.0, 0.0, 0.0); NODE_COUNT];
     let mut counts = (0, 0, 0, 0);
     for second in 1..=seconds {
         due += load;
@@ -48,16 +48,21 @@
             } else {
                 JobSpec { estimate_s: task_s, deadline_s: Some(90.0), ..job(id, 20 + id * 7 % 60) }
             };
-            tokio::task::spawn_local(world.clone().user(id as usize % NODES, spec));
+            tokio::task::spawn_local(testbed.clone().run_user(id as usize % NODE_COUNT, spec));
         }
         sleep(Duration::from_secs(1)).await;
         if second % 20 == 0 {
-            let requests = world.store.borrow().requests;
-            let now = (world.reports.get(), world.orders.get(), world.users.get(), requests);
+            let requests = testbed.store.borrow().requests;
+            let now = (
+                testbed.report_count.get(),
+                testbed.direct_call_count.get(),
+                testbed.user_request_count.get(),
+                requests,
+            );
             let rate = |now: u64, then: u64| (now - then) as f64 / 20.0;
             println!(
                 "{second:4} s, {} machines: a second {:.0} reports, {:.0} direct orders, {:.0} users' requests, {:.0} store",
-                world.workers.borrow().len(),
+                testbed.workers.borrow().len(),
                 rate(now.0, counts.0),
                 rate(now.1, counts.1),
                 rate(now.2, counts.2),
@@ -65,7 +70,7 @@
             );
             counts = now;
             for (node, child) in nodes.iter().enumerate() {
-                let (own, kernel, mb) = support::spent(child.id());
+                let (own, kernel, mb) = support::process_usage(child.id());
                 let ms = |now: f64, then: f64| (now - then) * 1000.0 / 20.0;
                 println!(
                     "       node-{node}: {:6.1} ms a second in its own code, {:6.1} in the kernel, {mb:.1} MB",
@@ -76,7 +81,7 @@
             }
         }
     }
-    support::end(&mut nodes);
+    support::stop_controllers(&mut nodes);
 }
 
 fn main() {
--- a/crates/testkit/examples/profile.rs
+++ b/crates/testkit/examples/profile.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use rushyoke_core::{Facts, Objective, Policy, Team};
-use rushyoke_testkit::{World, facts, job, service};
+use rushyoke_testkit::{Simulation, facts, job, service};
 use rushyoke_wire::job::{JobSpec, Priority};
 
 /// A small generator of its own, so that every run is the same.
@@ -67,10 +67,10 @@
     let mut args = std::env::args().skip(1).filter_map(|arg| arg.parse::<f64>().ok());
     let (seconds, load) = (args.next().unwrap_or(120.0) as u64, args.next().unwrap_or(1.0));
     let machines = args.next().unwrap_or(337.0);
-    let mut world = World::deployed(deployment(machines), 0, Policy::default(), &["a", "b", "c"]);
-    world.cloud.capacity = machines as u32;
-    world.task_s = 45.0;
-    world.run(Duration::from_secs(5));
+    let mut simulation = Simulation::with_facts(deployment(machines), 0, Policy::default(), &["a", "b", "c"]);
+    simulation.cloud.capacity = machines as u32;
+    simulation.task_duration_s = 45.0;
+    simulation.run(Duration::from_secs(5));
     let mut draw = Draw(7);
     let (mut id, mut due) = (0, 60.0);
     for _ in 0..seconds {
@@ -79,18 +79,18 @@
             due -= 1.0;
             id += 1;
             let spec = drawn(&mut draw, id);
-            world.submit(id as usize % 3, spec);
+            simulation.submit(id as usize % 3, spec);
         }
         for _ in 0..8 {
             let asked = format!("wk-{:06}", draw.below(u64::from(id.max(1))) + 1);
-            world.status(draw.below(3) as usize, &asked);
+            simulation.status(draw.below(3) as usize, &asked);
         }
-        world.run(Duration::from_secs(1));
+        simulation.run(Duration::from_secs(1));
     }
-    let time = world.now.as_secs_f64();
-    println!("{} jobs, {} machines, {} tasks started", id, world.workers.len(), world.started);
-    println!("{:.1} writes a second", world.store.writes as f64 / time);
-    for ((node, kind), (count, spent)) in &world.spent {
+    let time = simulation.now.as_secs_f64();
+    println!("{} jobs, {} machines, {} tasks started", id, simulation.workers.len(), simulation.started_tasks);
+    println!("{:.1} writes a second", simulation.store.writes as f64 / time);
+    for ((node, kind), (count, spent)) in &simulation.input_costs {
         let share = spent.as_secs_f64() / time * 1000.0;
         println!("node {node} {kind:>10}: {:8.1} a second, {share:7.3} ms a second", *count as f64 / time);
     }
--- a/crates/testkit/examples/spread.rs
+++ b/crates/testkit/examples/spread.rs
@@ -22,7 +22,7 @@
 use rushyoke_wire::job::JobSpec;
 use rushyoke_wire::worker::TaskState;
 use serde::Serialize;
-use support::{NODES, Setup, World};
+use support::{NODE_COUNT, Setup, Testbed};
 use tokio::time::sleep;
 
 /// CPUs of a machine, and so the tasks of one CPU that it holds.
@@ -131,9 +131,9 @@
 }
 
 /// Tasks that run now, with their machines.
-fn places(world: &World) -> BTreeMap<String, String> {
+fn places(testbed: &Testbed) -> BTreeMap<String, String> {
     let mut places = BTreeMap::new();
-    for (name, worker) in world.workers.borrow().iter() {
+    for (name, worker) in testbed.workers.borrow().iter() {
         for task in worker.borrow().tasks.iter().filter(|task| task.state == TaskState::Running) {
             places.insert(task.name.clone(), name.clone());
         }
@@ -141,12 +141,12 @@
     places
 }
 
-fn loads(world: &World) -> Vec<Load> {
+fn loads(testbed: &Testbed) -> Vec<Load> {
     let mut loads: BTreeMap<String, Load> = BTreeMap::new();
-    for name in world.workers.borrow().keys() {
+    for name in testbed.workers.borrow().keys() {
         loads.insert(name.clone(), Load::default());
     }
-    for (task, machine) in places(world) {
+    for (task, machine) in places(testbed) {
         let load = loads.entry(machine).or_default();
         if is_service(&task) {
             load.fixed += 1;
@@ -190,23 +190,23 @@
     now - best
 }
 
-async fn pass(world: &World, paths: &mut Paths, time: Duration) {
+async fn pass(testbed: &Testbed, paths: &mut Paths, time: Duration) {
     let until = Instant::now() + time;
     while Instant::now() < until {
         sleep(Duration::from_millis(250)).await;
-        paths.look(&places(world));
+        paths.look(&places(testbed));
     }
 }
 
 /// A job of the other team: how long until all its tasks run, if they do.
-async fn trickle(world: Rc<World>, id: u32) -> Option<f64> {
+async fn trickle(testbed: Rc<Testbed>, id: u32) -> Option<f64> {
     let spec = JobSpec { team: "blue".into(), estimate_s: TASK_S, spot: false, ..job(id, TRICKLE_TASKS) };
     let name = spec.id.clone();
     let began = Instant::now();
-    tokio::task::spawn_local(world.clone().user(id as usize % NODES, spec));
+    tokio::task::spawn_local(testbed.clone().run_user(id as usize % NODE_COUNT, spec));
     while began.elapsed() < Duration::from_secs(60) {
         sleep(Duration::from_millis(100)).await;
-        let running = places(&world).keys().filter(|task| task.split('/').next() == Some(&name)).count();
+        let running = places(&testbed).keys().filter(|task| task.split('/').next() == Some(&name)).count();
         if running == TRICKLE_TASKS as usize {
             return Some(began.elapsed().as_secs_f64());
         }
@@ -214,27 +214,27 @@
     None
 }
 
-async fn submit(world: &Rc<World>, spec: JobSpec, node: usize) {
-    tokio::task::spawn_local(world.clone().user(node, spec));
+async fn submit(testbed: &Rc<Testbed>, spec: JobSpec, node: usize) {
+    tokio::task::spawn_local(testbed.clone().run_user(node, spec));
     sleep(Duration::from_millis(40)).await;
 }
 
 /// Processor time of the controllers so far.
 fn processor_s(nodes: &[Child]) -> f64 {
-    nodes.iter().map(|child| support::spent(child.id())).map(|(own, kernel, _)| own + kernel).sum()
+    nodes.iter().map(|child| support::process_usage(child.id())).map(|(own, kernel, _)| own + kernel).sum()
 }
 
 async fn play(setup: Setup, spreading: bool) -> Run {
     let machines = setup.capacity as usize;
     let early = machines / 5;
-    let world = World::serve(setup, early as u32).await;
+    let testbed = Testbed::start(setup, early as u32).await;
     // The cloud has no more until the others come.
-    world.cloud.borrow_mut().capacity = early as u32;
-    let mut nodes: Vec<Child> = (0..NODES).map(|node| world.start(node)).collect();
+    testbed.cloud.borrow_mut().capacity = early as u32;
+    let mut nodes: Vec<Child> = (0..NODE_COUNT).map(|node| testbed.start_controller(node)).collect();
     sleep(SETTLED).await;
     for id in 0..SERVICES {
         let spec = JobSpec { team: "green".into(), ..service(id, REPLICAS) };
-        submit(&world, spec, id as usize % NODES).await;
+        submit(&testbed, spec, id as usize % NODE_COUNT).await;
     }
     sleep(Duration::from_secs(5)).await;
     let room = early * MACHINE_CPUS - (SERVICES * REPLICAS) as usize;
@@ -248,23 +248,23 @@
             ..job(100 + id, BURST_JOB)
         };
         paths.submitted.insert(saves.id.clone(), Instant::now());
-        submit(&world, saves, id as usize % NODES).await;
+        submit(&testbed, saves, id as usize % NODE_COUNT).await;
     }
-    pass(&world, &mut paths, CROWDED).await;
+    pass(&testbed, &mut paths, CROWDED).await;
     let services: BTreeSet<(String, String)> =
-        places(&world).into_iter().filter(|(task, _)| is_service(task)).collect();
-    let (requests, changes) = (world.store.borrow().requests, world.store.borrow().revision);
+        places(&testbed).into_iter().filter(|(task, _)| is_service(task)).collect();
+    let (requests, changes) = (testbed.store.borrow().requests, testbed.store.borrow().revision);
     let processor = processor_s(&nodes);
     {
-        let mut cloud = world.cloud.borrow_mut();
+        let mut cloud = testbed.cloud.borrow_mut();
         cloud.capacity = machines as u32;
-        let now = world.now();
-        (early..machines).for_each(|n| drop(cloud.add(now, ["a", "b", "c"][n % 3], false)));
+        let now = testbed.now();
+        (early..machines).for_each(|n| drop(cloud.add_machine(now, ["a", "b", "c"][n % 3], false)));
     }
-    while world.workers.borrow().len() < machines {
+    while testbed.workers.borrow().len() < machines {
         sleep(Duration::from_millis(50)).await;
     }
-    let tasks = places(&world).len();
+    let tasks = places(&testbed).len();
     let began = Instant::now();
     let (mut looks, mut waits) = (Vec::new(), Vec::new());
     let mut next_trickle = Duration::ZERO;
@@ -272,22 +272,22 @@
         let at = began.elapsed();
         if at >= next_trickle {
             next_trickle += TRICKLE;
-            waits.push(tokio::task::spawn_local(trickle(world.clone(), 1000 + waits.len() as u32)));
+            waits.push(tokio::task::spawn_local(trickle(testbed.clone(), 1000 + waits.len() as u32)));
         }
-        looks.push((at, loads(&world)));
-        pass(&world, &mut paths, Duration::from_secs(1)).await;
+        looks.push((at, loads(&testbed)));
+        pass(&testbed, &mut paths, Duration::from_secs(1)).await;
     }
-    looks.push((began.elapsed(), loads(&world)));
-    let after: BTreeSet<(String, String)> = places(&world).into_iter().filter(|(task, _)| is_service(task)).collect();
+    looks.push((began.elapsed(), loads(&testbed)));
+    let after: BTreeSet<(String, String)> = places(&testbed).into_iter().filter(|(task, _)| is_service(task)).collect();
     let jobs = waits.len();
     let mut waited = Vec::new();
     for wait in waits {
         waited.extend(wait.await.expect("a task of ours"));
     }
     let (store_requests, store_changes) =
-        (world.store.borrow().requests - requests, world.store.borrow().revision - changes);
+        (testbed.store.borrow().requests - requests, testbed.store.borrow().revision - changes);
     let processor_s = processor_s(&nodes) - processor;
-    support::end(&mut nodes);
+    support::stop_controllers(&mut nodes);
     // Solved when nothing waits for this thread any more.
     let samples: Vec<Sample> = looks.iter().map(|(at, loads)| sample(*at, loads)).collect();
     Run {
@@ -385,15 +385,15 @@
     for n in 0..runs * 2 {
         let spreading = n % 2 == 1;
         let setup = Setup {
-            report: Duration::from_millis(1500),
-            lease: Duration::from_secs(20),
-            task_s: TASK_S,
-            boot: Duration::from_secs(1),
+            report_interval: Duration::from_millis(1500),
+            worker_lease: Duration::from_secs(20),
+            task_duration_s: TASK_S,
+            boot_time: Duration::from_secs(1),
             capacity: machines,
             teams: vec![("red", cpus / 20.0, cpus), ("blue", cpus / 20.0, cpus), ("green", cpus / 20.0, cpus)],
-            sockets: 1200.max(machines as usize * 3),
-            memory_mb: 64.0 + f64::from(machines) / 8.0,
-            policy: Some(policy(&folder, spreading)),
+            max_sockets: 1200.max(machines as usize * 3),
+            max_memory_mb: 64.0 + f64::from(machines) / 8.0,
+            policy_file: Some(policy(&folder, spreading)),
         };
         let run = support::block_on(play(setup, spreading));
         print(&run);
--- a/crates/testkit/examples/zones.rs
+++ b/crates/testkit/examples/zones.rs
@@ -21,7 +21,7 @@
 use rushyoke_wire::job::{JobSpec, Priority};
 use rushyoke_wire::worker::TaskState;
 use serde::Serialize;
-use support::{NODES, Setup, World};
+use support::{NODE_COUNT, Setup, Testbed};
 use tokio::time::sleep;
 
 const MACHINE_CPUS: u32 = 16;
@@ -78,9 +78,9 @@
 }
 
 /// Tasks that run now, with the machines on which they do and whether these are in the zone that is cut.
-fn places(world: &World) -> BTreeMap<String, Vec<(String, bool)>> {
+fn places(testbed: &Testbed) -> BTreeMap<String, Vec<(String, bool)>> {
     let mut places: BTreeMap<String, Vec<(String, bool)>> = BTreeMap::new();
-    for (name, worker) in world.workers.borrow().iter() {
+    for (name, worker) in testbed.workers.borrow().iter() {
         let worker = worker.borrow();
         for task in worker.tasks.iter().filter(|task| task.state == TaskState::Running) {
             places.entry(task.name.clone()).or_default().push((name.clone(), worker.zone == CUT_ZONE));
@@ -98,10 +98,10 @@
 }
 
 impl Watch {
-    fn look(&mut self, at: Duration, world: &World) {
+    fn look(&mut self, at: Duration, testbed: &Testbed) {
         let mut look = Look { at_s: at.as_secs_f64(), running: [0; 3], began: [0; 3], began_in_zone: 0, duplicates: 0 };
         let mut runs = BTreeMap::new();
-        for (task, on) in places(world) {
+        for (task, on) in places(testbed) {
             let tier = tier_of(&task);
             look.running[tier] += 1;
             look.duplicates += usize::from(on.len() > 1);
@@ -118,13 +118,13 @@
     }
 }
 
-async fn submit(world: &Rc<World>, spec: JobSpec, node: usize) {
-    tokio::task::spawn_local(world.clone().user(node, spec));
+async fn submit(testbed: &Rc<Testbed>, spec: JobSpec, node: usize) {
+    tokio::task::spawn_local(testbed.clone().run_user(node, spec));
     sleep(Duration::from_millis(30)).await;
 }
 
 /// Submits the work of all tiers; how many tasks each has.
-async fn fill(world: &Rc<World>, machines: u32) -> [usize; 3] {
+async fn fill(testbed: &Rc<Testbed>, machines: u32) -> [usize; 3] {
     let mut tasks = [0; 3];
     for (tier, (_, team, share, each)) in TIERS.into_iter().enumerate() {
         let jobs = (f64::from(machines * MACHINE_CPUS) * share) as u32 / each;
@@ -136,7 +136,7 @@
                 1 => JobSpec { priority: Priority::High, ..array },
                 _ => JobSpec { priority: Priority::BestEffort, ..array },
             };
-            submit(world, JobSpec { team: team.into(), ..spec }, n as usize % NODES).await;
+            submit(testbed, JobSpec { team: team.into(), ..spec }, n as usize % NODE_COUNT).await;
             tasks[tier] += each as usize;
         }
     }
@@ -145,39 +145,39 @@
 
 /// Processor time of the controllers so far, and the memory of the largest.
 fn spent(nodes: &[Child]) -> (f64, f64) {
-    let each = nodes.iter().map(|child| support::spent(child.id()));
+    let each = nodes.iter().map(|child| support::process_usage(child.id()));
     each.fold((0.0, 0.0), |(time, memory): (f64, f64), (own, kernel, mb)| (time + own + kernel, memory.max(mb)))
 }
 
 async fn play(setup: Setup, failover: bool) -> Run {
     let machines = setup.capacity;
-    let world = World::serve(setup, machines).await;
-    let mut nodes: Vec<Child> = (0..NODES).map(|node| world.start(node)).collect();
+    let testbed = Testbed::start(setup, machines).await;
+    let mut nodes: Vec<Child> = (0..NODE_COUNT).map(|node| testbed.start_controller(node)).collect();
     sleep(SETTLED).await;
-    let tasks = fill(&world, machines).await;
+    let tasks = fill(&testbed, machines).await;
     let filled = Instant::now();
-    while places(&world).len() < tasks.iter().sum() && filled.elapsed() < Duration::from_secs(40) {
+    while places(&testbed).len() < tasks.iter().sum() && filled.elapsed() < Duration::from_secs(40) {
         sleep(LOOK).await;
     }
     let mut watch = Watch::default();
-    watch.look(Duration::ZERO, &world);
+    watch.look(Duration::ZERO, &testbed);
     watch.begun.clear();
     watch.looks.clear();
-    let changes = world.store.borrow().revision;
+    let changes = testbed.store.borrow().revision;
     let before = spent(&nodes);
-    world.cut_zones.borrow_mut().insert(CUT_ZONE.into());
+    testbed.partitioned_zones.borrow_mut().insert(CUT_ZONE.into());
     let began = Instant::now();
     while began.elapsed() < WATCHED {
         if began.elapsed() >= CUT {
-            world.cut_zones.borrow_mut().clear();
+            testbed.partitioned_zones.borrow_mut().clear();
         }
         sleep(LOOK).await;
-        watch.look(began.elapsed(), &world);
+        watch.look(began.elapsed(), &testbed);
     }
-    let store_changes = world.store.borrow().revision - changes;
-    let cloud_machines = world.cloud.borrow().machines.len();
+    let store_changes = testbed.store.borrow().revision - changes;
+    let cloud_machines = testbed.cloud.borrow().machines.len();
     let after = spent(&nodes);
-    support::end(&mut nodes);
+    support::stop_controllers(&mut nodes);
     let run = summary(failover, tasks, watch, store_changes, cloud_machines);
     Run { processor_s: after.0 - before.0, memory_mb: after.1, ..run }
 }
@@ -300,15 +300,15 @@
     for n in 0..runs * 2 {
         let failover = n % 2 == 1;
         let setup = Setup {
-            report: Duration::from_millis(1500),
-            lease: LEASE,
-            task_s: TASK_S,
-            boot: Duration::from_secs(1),
+            report_interval: Duration::from_millis(1500),
+            worker_lease: LEASE,
+            task_duration_s: TASK_S,
+            boot_time: Duration::from_secs(1),
             capacity: machines,
             teams: teams.iter().map(|team| (*team, cpus / 20.0, cpus)).collect(),
-            sockets: 1200.max(machines as usize * 3),
-            memory_mb: 64.0 + f64::from(machines) / 8.0,
-            policy: Some(policy(&folder, failover)),
+            max_sockets: 1200.max(machines as usize * 3),
+            max_memory_mb: 64.0 + f64::from(machines) / 8.0,
+            policy_file: Some(policy(&folder, failover)),
         };
         let run = support::block_on(play(setup, failover));
         println!(
--- a/crates/testkit/src/rules.rs
+++ b/crates/testkit/src/checker.rs
@@ -16,23 +16,23 @@
 
 /// What a user asked, and what any user had been told of the job before.
 #[derive(Clone, Debug)]
-pub struct Question {
+pub struct UserRequest {
     kind: Kind,
     job: String,
-    accepted: bool,
+    was_accepted: bool,
     over: Option<JobStatus>,
 }
 
 /// The state of things as users know it.
 #[derive(Default)]
-pub struct Rules {
+pub struct Checker {
     submitted: BTreeSet<String>,
-    accepted: BTreeSet<String>,
+    accepted_jobs: BTreeSet<String>,
     /// Submissions that were refused for good; one that awaits others may be accepted later.
     refused: BTreeSet<String>,
     over: BTreeMap<String, JobStatus>,
     /// Jobs that a user asked to cancel.
-    unwanted: BTreeSet<String>,
+    cancel_requested: BTreeSet<String>,
     /// Tasks that completed on some machine.
     done: BTreeMap<String, BTreeSet<u32>>,
     /// Numbers of tasks by job.
@@ -41,14 +41,14 @@
     /// When a user was told that a job is cancelled.
     cancelled: BTreeMap<String, Duration>,
     /// Tasks of jobs that await others which began.
-    pub awaited_starts: u64,
+    pub dependent_starts: u64,
     /// Answers of status 200 and 201.
-    pub told: u64,
+    pub successful_responses: u64,
 }
 
-impl Rules {
+impl Checker {
     /// Notes a question at the moment it is asked.
-    pub(crate) fn question(&mut self, input: &Input) -> Question {
+    pub(crate) fn record_request(&mut self, input: &Input) -> UserRequest {
         let (kind, job) = match input {
             Input::Submit { spec, .. } => {
                 self.submitted.insert(spec.id.clone());
@@ -58,29 +58,29 @@
             }
             Input::Status { id, .. } => (Kind::Status, id.clone()),
             Input::Cancel { id, .. } => {
-                self.unwanted.insert(id.clone());
+                self.cancel_requested.insert(id.clone());
                 (Kind::Cancel, id.clone())
             }
             _ => (Kind::Other, String::new()),
         };
-        Question { kind, accepted: self.accepted.contains(&job), over: self.over.get(&job).copied(), job }
+        UserRequest { kind, was_accepted: self.accepted_jobs.contains(&job), over: self.over.get(&job).copied(), job }
     }
 
     /// Checks an answer against all that any node told before its question was asked.
-    pub(crate) fn answered(
+    pub(crate) fn check_response(
         &mut self,
         now: Duration,
         cancel: Duration,
         node: usize,
-        question: &Question,
+        question: &UserRequest,
         answer: &HttpResponse,
     ) {
-        let Question { kind, job, accepted, over } = question;
+        let UserRequest { kind, job, was_accepted, over } = question;
         if *kind == Kind::Other {
             return;
         }
         if matches!(answer.status, 400 | 404 | 422) {
-            assert!(!accepted, "at {now:?} node {node} answers {} about {job}, which was accepted", answer.status);
+            assert!(!was_accepted, "at {now:?} node {node} answers {} about {job}, which was accepted", answer.status);
             if *kind == Kind::Submit && self.awaits.get(job).is_none_or(Vec::is_empty) {
                 self.refused.insert(job.clone());
             }
@@ -91,31 +91,34 @@
             assert!(answer.retry_after_s.is_some(), "{job}: {} without a time to come back", answer.status);
             return;
         }
-        self.told += 1;
+        self.successful_responses += 1;
         let view: JobView = serde_json::from_slice(&answer.body).expect("a job's state is well formed");
         assert!(!self.refused.contains(job), "at {now:?} node {node} takes {job}, which was refused");
         assert!(self.submitted.contains(job), "at {now:?} {job}, which nobody submitted, is {:?}", view.state);
         if let Some(over) = over {
             assert_eq!(view.state, *over, "at {now:?} node {node}: {job} went back");
         }
-        self.accepted.insert(job.clone());
+        self.accepted_jobs.insert(job.clone());
         if view.state.is_final() {
             let told = *self.over.entry(job.clone()).or_insert(view.state);
             assert_eq!(told, view.state, "at {now:?} {job} has two ends");
         }
         match view.state {
             JobStatus::Done => {
-                let (done, all) = (self.finished(job), self.tasks[job]);
+                let (done, all) = (self.finished_tasks(job), self.tasks[job]);
                 assert_eq!(done, all, "at {now:?} {job} is called done");
             }
             JobStatus::Cancelled => {
-                assert!(self.needs(job).any(|id| self.unwanted.contains(&id)), "at {now:?} nobody cancelled {job}");
+                assert!(
+                    self.with_dependencies(job).any(|id| self.cancel_requested.contains(&id)),
+                    "at {now:?} nobody cancelled {job}"
+                );
                 if *kind == Kind::Cancel {
                     self.cancelled.entry(job.clone()).or_insert(now);
                 }
             }
             _ => {
-                let lost = self.needs(job).filter_map(|id| self.cancelled.get(&id)).min();
+                let lost = self.with_dependencies(job).filter_map(|id| self.cancelled.get(&id)).min();
                 assert!(
                     lost.is_none_or(|since| now <= *since + cancel),
                     "at {now:?} node {node}: {job} is {:?}, but what it needs was cancelled at {lost:?}",
@@ -126,7 +129,7 @@
     }
 
     /// A job, and all that it needs directly or through others.
-    fn needs(&self, job: &str) -> impl Iterator<Item = String> {
+    fn with_dependencies(&self, job: &str) -> impl Iterator<Item = String> {
         let (mut all, mut left) = (BTreeSet::new(), vec![job.to_owned()]);
         while let Some(id) = left.pop() {
             if all.insert(id.clone()) {
@@ -137,21 +140,21 @@
     }
 
     /// A task of the job begins: all that its job needs must be done.
-    pub(crate) fn starts(&mut self, now: Duration, job: &str) {
+    pub(crate) fn check_start(&mut self, now: Duration, job: &str) {
         for dep in self.awaits.get(job).into_iter().flatten() {
-            let (done, all) = (self.finished(dep), self.tasks.get(dep).copied());
+            let (done, all) = (self.finished_tasks(dep), self.tasks.get(dep).copied());
             assert_eq!(Some(done), all, "at {now:?} a task of {job} begins too early, before {dep} is done");
-            self.awaited_starts += 1;
+            self.dependent_starts += 1;
         }
     }
 
     /// Whether a job that it awaits is not done yet.
-    pub(crate) fn waits_for_others(&self, job: &str) -> bool {
+    pub(crate) fn has_unfinished_dependencies(&self, job: &str) -> bool {
         let awaits = self.awaits.get(job).into_iter().flatten();
-        awaits.into_iter().any(|dep| self.tasks.get(dep).is_none_or(|tasks| self.finished(dep) < *tasks))
+        awaits.into_iter().any(|dep| self.tasks.get(dep).is_none_or(|tasks| self.finished_tasks(dep) < *tasks))
     }
 
-    pub(crate) fn finish(&mut self, task: &str) {
+    pub(crate) fn record_finished_task(&mut self, task: &str) {
         if let Some((job, number)) = task.rsplit_once('/')
             && let Ok(number) = number.parse()
         {
@@ -160,26 +163,26 @@
     }
 
     /// A user asked a node that is not part of the story to cancel a job.
-    pub fn unwanted(&mut self, job: &str) {
-        self.unwanted.insert(job.to_owned());
+    pub fn record_cancel_request(&mut self, job: &str) {
+        self.cancel_requested.insert(job.to_owned());
     }
 
     /// What a job that was accepted before the story began awaits.
-    pub fn earlier_awaits(&mut self, job: &str, awaits: &[String]) {
+    pub fn add_earlier_dependencies(&mut self, job: &str, awaits: &[String]) {
         self.awaits.insert(job.to_owned(), awaits.to_vec());
     }
 
     /// A user was told just before the story began that the job is cancelled.
-    pub fn earlier_cancelled(&mut self, job: &str, now: Duration) {
-        self.unwanted.insert(job.to_owned());
+    pub fn add_earlier_cancellation(&mut self, job: &str, now: Duration) {
+        self.cancel_requested.insert(job.to_owned());
         self.over.insert(job.to_owned(), JobStatus::Cancelled);
         self.cancelled.insert(job.to_owned(), now);
     }
 
     /// A job that was accepted, and perhaps ended, before the story began.
-    pub fn earlier(&mut self, job: &str, tasks: u32, done: bool) {
+    pub fn add_earlier_job(&mut self, job: &str, tasks: u32, done: bool) {
         self.submitted.insert(job.to_owned());
-        self.accepted.insert(job.to_owned());
+        self.accepted_jobs.insert(job.to_owned());
         self.tasks.insert(job.to_owned(), tasks);
         if done {
             self.done.insert(job.to_owned(), (0..tasks).collect());
@@ -187,17 +190,17 @@
     }
 
     /// How many tasks of a job completed somewhere.
-    pub fn finished(&self, job: &str) -> u32 {
+    pub fn finished_tasks(&self, job: &str) -> u32 {
         self.done.get(job).map_or(0, |tasks| tasks.len() as u32)
     }
 
     /// Whether a user was told that the job is done or cancelled.
-    pub fn is_over(&self, job: &str) -> bool {
+    pub fn has_ended(&self, job: &str) -> bool {
         self.over.contains_key(job)
     }
 
     /// Jobs that a user was told are accepted.
-    pub fn accepted(&self) -> Vec<String> {
-        self.accepted.iter().cloned().collect()
+    pub fn accepted_jobs(&self) -> Vec<String> {
+        self.accepted_jobs.iter().cloned().collect()
     }
 }
--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -11,7 +11,7 @@
 
 /// A machine that is rented.
 #[derive(Clone)]
-pub struct Rented {
+pub struct RentedMachine {
     /// Its type.
     pub kind: String,
     /// Its zone.
@@ -19,9 +19,9 @@
     /// Whether the cloud may take it back.
     pub spot: bool,
     /// When it was rented.
-    pub since: Duration,
+    pub rented_at: Duration,
     /// Whether it has booted.
-    pub up: bool,
+    pub booted: bool,
 }
 
 /// A stand-in for the cloud.
@@ -29,7 +29,7 @@
     /// The types that it rents.
     pub types: Vec<MachineType>,
     /// Machines that are rented, by name.
-    pub machines: BTreeMap<String, Rented>,
+    pub machines: BTreeMap<String, RentedMachine>,
     requests: BTreeMap<String, Vec<String>>,
     serial: u32,
     /// It answers nobody.
@@ -37,7 +37,7 @@
     /// Free machines; none are given beyond.
     pub capacity: u32,
     /// Machines that will never come up.
-    pub stillborn: BTreeSet<String>,
+    pub never_boot: BTreeSet<String>,
     /// Rentals carried out.
     pub rentals: u32,
 }
@@ -64,17 +64,18 @@
             serial: 0,
             outage: false,
             capacity: 20,
-            stillborn: BTreeSet::new(),
+            never_boot: BTreeSet::new(),
             rentals: 0,
         }
     }
 
     /// Adds a machine that nobody asked for, or that was there from the start.
-    pub fn add(&mut self, now: Duration, zone: &str, spot: bool) -> String {
+    pub fn add_machine(&mut self, now: Duration, zone: &str, spot: bool) -> String {
         let name = format!("n-{:06}", self.serial);
         self.serial += 1;
         let kind = self.types[0].name.clone();
-        self.machines.insert(name.clone(), Rented { kind, zone: zone.into(), spot, since: now, up: false });
+        self.machines
+            .insert(name.clone(), RentedMachine { kind, zone: zone.into(), spot, rented_at: now, booted: false });
         name
     }
 
@@ -95,7 +96,7 @@
                 }
                 self.rentals += 1;
                 let names: Vec<String> =
-                    (0..rental.count.min(free)).map(|_| self.add(now, &rental.zone, rental.spot)).collect();
+                    (0..rental.count.min(free)).map(|_| self.add_machine(now, &rental.zone, rental.spot)).collect();
                 self.requests.insert(rental.request.clone(), names.clone());
                 CloudResponse::Rented(names)
             }
@@ -113,8 +114,8 @@
                     kind: m.kind.clone(),
                     zone: m.zone.clone(),
                     spot: m.spot,
-                    phase: if m.up { Phase::Running } else { Phase::Booting },
-                    age_s: (now - m.since).as_secs_f64(),
+                    phase: if m.booted { Phase::Running } else { Phase::Booting },
+                    age_s: (now - m.rented_at).as_secs_f64(),
                 });
                 let page = machines.by_ref().take(PAGE).collect();
                 CloudResponse::Listing(Listing { machines: page, more: machines.next().is_some() })
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -4,18 +4,18 @@
 
 #![warn(missing_docs)]
 
+mod checker;
 mod cloud;
 mod deployment;
-mod rules;
+mod scenario;
+mod simulation;
 mod store;
-mod story;
 mod worker;
-mod world;
 
-pub use cloud::{Cloud, Rented};
+pub use checker::Checker;
+pub use cloud::{Cloud, RentedMachine};
 pub use deployment::{facts, job, service};
-pub use rules::Rules;
+pub use scenario::{all_in_state, dependent_job, job_id, millis, secs};
+pub use simulation::{MachineFault, NetworkInterruption, Simulation};
 pub use store::Store;
-pub use story::{all, dependent, job_id, millis, secs};
 pub use worker::{Task, Worker};
-pub use world::{Interruption, Unreachable, World};
--- a/crates/testkit/src/story.rs
+++ b/crates/testkit/src/scenario.rs
@@ -6,7 +6,7 @@
 use rushyoke_wire::job::{JobSpec, JobStatus};
 
 use crate::deployment::job;
-use crate::world::World;
+use crate::simulation::Simulation;
 
 /// A duration in seconds.
 pub fn secs(seconds: u64) -> Duration {
@@ -24,40 +24,40 @@
 }
 
 /// An array of one-CPU tasks of team red that awaits other jobs.
-pub fn dependent(number: u32, tasks: u32, awaits: &[u32]) -> JobSpec {
+pub fn dependent_job(number: u32, tasks: u32, awaits: &[u32]) -> JobSpec {
     JobSpec { dependencies: awaits.iter().map(|number| job_id(*number)).collect(), ..job(number, tasks) }
 }
 
 /// So many jobs in one state.
-pub fn all(state: JobStatus, count: usize) -> Vec<Option<JobStatus>> {
+pub fn all_in_state(state: JobStatus, count: usize) -> Vec<Option<JobStatus>> {
     vec![Some(state); count]
 }
 
-impl World {
+impl Simulation {
     /// Three nodes, and machines that a leader knows.
-    pub fn settled(machines: usize) -> World {
-        let mut world = World::new(machines);
-        world.run(secs(6));
-        world
+    pub fn with_elected_leader(machines: usize) -> Simulation {
+        let mut simulation = Simulation::new(machines);
+        simulation.run(secs(6));
+        simulation
     }
 
     /// A settled world of three machines whose tasks take four seconds, and its leader.
-    pub fn with_short_tasks() -> (World, usize) {
-        let mut world = World::new(3);
-        world.task_s = 4.0;
-        world.workers.values_mut().for_each(|worker| worker.run_s = 4.0);
-        world.run(secs(6));
-        let leader = world.leader().expect("a leader");
-        (world, leader)
+    pub fn with_short_tasks() -> (Simulation, usize) {
+        let mut simulation = Simulation::new(3);
+        simulation.task_duration_s = 4.0;
+        simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 4.0);
+        simulation.run(secs(6));
+        let leader = simulation.leader().expect("a leader");
+        (simulation, leader)
     }
 
     /// What a node says of some jobs, one question after the other.
-    pub fn states(&mut self, node: usize, jobs: RangeInclusive<u32>) -> Vec<Option<JobStatus>> {
-        jobs.map(|number| self.state(node, &job_id(number))).collect()
+    pub fn job_states(&mut self, node: usize, jobs: RangeInclusive<u32>) -> Vec<Option<JobStatus>> {
+        jobs.map(|number| self.job_state(node, &job_id(number))).collect()
     }
 
     /// Cancels a job at a node, which must tell so.
-    pub fn cancel_told(&mut self, node: usize, id: &str) {
+    pub fn cancel_and_confirm(&mut self, node: usize, id: &str) {
         let told = self.cancel(node, id).and_then(|(_, view)| view).map(|view| view.state);
         assert_eq!(told, Some(JobStatus::Cancelled), "{id} at node {node}");
     }
@@ -65,15 +65,16 @@
     /// Lets time pass until a report of the machine has just been answered, or given up.
     pub fn run_until_reported(&mut self, machine: &str) {
         for reporting in [true, false] {
-            while self.workers[machine].waiting.is_some() != reporting {
+            while self.workers[machine].pending_report.is_some() != reporting {
                 self.run(millis(10));
             }
         }
     }
 
     /// Lets so many seconds pass; the most direct calls that a node had outcomes of in one of them.
-    pub fn most_calls_a_second(&mut self, node: usize, seconds: u64) -> u64 {
-        let outcomes = |world: &World| world.spent.get(&(node, "ordered")).map_or(0, |spent| spent.0);
+    pub fn max_direct_calls_per_second(&mut self, node: usize, seconds: u64) -> u64 {
+        let outcomes =
+            |simulation: &Simulation| simulation.input_costs.get(&(node, "ordered")).map_or(0, |spent| spent.0);
         let mut most = 0;
         for _ in 0..seconds {
             let before = outcomes(self);
--- a/crates/testkit/src/world/checks.rs
+++ b/crates/testkit/src/simulation/checks.rs
@@ -7,29 +7,32 @@
 use rushyoke_wire::job::JobSpec;
 use rushyoke_wire::worker::TaskState;
 
-use super::World;
+use super::Simulation;
 use crate::worker::Worker;
 
-impl World {
+impl Simulation {
     /// What is checked once troubles are over: users who ask at every node every five seconds
     /// are answered about each accepted job within 75 s, and no job waits for 90 s while a
     /// machine that fits has room and its team is under its limit.
-    pub fn check_served(&mut self) {
-        let jobs = self.rules.accepted();
+    pub fn check_recovered(&mut self) {
+        let jobs = self.checker.accepted_jobs();
         let mut answered: BTreeMap<String, Duration> = jobs.iter().map(|job| (job.clone(), self.now)).collect();
         let mut waits: BTreeMap<String, Duration> = BTreeMap::new();
         for _ in 0..22 {
             self.run(Duration::from_secs(4));
-            for node in 0..self.slots.len() {
+            for node in 0..self.node_processes.len() {
                 let asked: Vec<(String, u64)> = jobs
                     .iter()
                     .map(|job| {
-                        (job.clone(), self.ask(node, |request_id| Input::Status { request_id, id: job.clone() }))
+                        (
+                            job.clone(),
+                            self.send_request(node, |request_id| Input::Status { request_id, id: job.clone() }),
+                        )
                     })
                     .collect();
                 self.run(Duration::from_millis(350));
                 for (job, id) in asked {
-                    if self.answers.remove(&id).is_some_and(|answer| answer.status == 200) {
+                    if self.responses.remove(&id).is_some_and(|answer| answer.status == 200) {
                         answered.insert(job, self.now);
                     }
                 }
@@ -58,7 +61,8 @@
     /// Whether a task of the job waits that a machine has room for, within its team's limit.
     fn could_start(&self, id: &str) -> bool {
         let spec = &self.specs[id];
-        if self.rules.is_over(id) || self.cancelled.contains_key(id) || self.rules.waits_for_others(id) {
+        if self.checker.has_ended(id) || self.cancelled.contains_key(id) || self.checker.has_unfinished_dependencies(id)
+        {
             return false;
         }
         let of = |task: &str| task.split('/').next().and_then(|id| self.specs.get(id));
@@ -68,7 +72,7 @@
         };
         let all: Vec<JobSpec> = self.workers.values().flat_map(present).collect();
         let there = all.iter().filter(|s| s.id == id).count() as u32;
-        let finished = self.rules.finished(id);
+        let finished = self.checker.finished_tasks(id);
         if there + finished >= spec.tasks {
             return false;
         }
@@ -85,19 +89,19 @@
                 && held_memory + spec.memory_gb <= memory + 1e-6
                 && (spec.spot || !w.spot)
                 && spec.zone.as_ref().is_none_or(|zone| *zone == w.zone)
-                && !w.fails_all
+                && !w.fails_all_tasks
                 && w.notice_s.is_none()
         };
         !spec.one_zone && !spec.spread && self.workers.values().any(fits)
     }
 
     /// The rules that hold at every moment.
-    pub(super) fn check(&mut self) {
+    pub(super) fn check_invariants(&mut self) {
         let mut on: BTreeMap<String, BTreeSet<String>> = BTreeMap::new();
         let mut used: BTreeMap<&str, f64> = BTreeMap::new();
         let mut zones: BTreeMap<&str, BTreeMap<&str, u32>> = BTreeMap::new();
         for worker in self.workers.values() {
-            if self.hang.contains_key(&worker.name) && self.now > worker.lease_from + self.facts.worker_lease {
+            if self.frozen_until.contains_key(&worker.name) && self.now > worker.lease_start + self.facts.worker_lease {
                 // Its tasks are dropped as soon as it goes on.
                 continue;
             }
@@ -128,24 +132,24 @@
         }
         for (task, machines) in &on {
             assert!(machines.len() <= 1, "at {:?} {task} is on {machines:?}", self.now);
-            if !self.running.contains_key(task) {
-                self.started += 1;
+            if !self.running_on.contains_key(task) {
+                self.started_tasks += 1;
                 let id = task.split('/').next().expect("a task's name starts with its job");
-                self.late_starts += u64::from(self.cancelled.contains_key(id));
-                self.rules.starts(self.now, id);
+                self.starts_after_cancel += u64::from(self.cancelled.contains_key(id));
+                self.checker.check_start(self.now, id);
             }
         }
-        self.running = on;
+        self.running_on = on;
     }
 
     /// Machines on which a job's tasks run now.
-    pub fn where_runs(&self, id: &str) -> Vec<(String, String)> {
-        let of_job = self.running.iter().filter(|(task, _)| task.split('/').next() == Some(id));
+    pub fn running_tasks(&self, id: &str) -> Vec<(String, String)> {
+        let of_job = self.running_on.iter().filter(|(task, _)| task.split('/').next() == Some(id));
         of_job.flat_map(|(task, on)| on.iter().map(|m| (task.clone(), m.clone()))).collect()
     }
 
     /// Tasks of a job that the newest records place on a machine.
-    pub fn placed_on(&self, job: &str, machine: &str) -> usize {
+    pub fn count_recorded_placements(&self, job: &str, machine: &str) -> usize {
         let segments = self.store.rows.iter().filter(|(key, _)| key.starts_with("log/"));
         let newest = segments.max_by_key(|(_, row)| row.1);
         let value = newest.map(|(_, row)| &row.0);
--- a/crates/testkit/src/world/machines.rs
+++ b/crates/testkit/src/simulation/machines.rs
@@ -5,68 +5,70 @@
 use rushyoke_wire::job::Kind;
 use rushyoke_wire::worker::Cause;
 
-use super::{Event, HOP, World};
+use super::{Event, HOP, Simulation};
 use crate::worker::Worker;
 
 /// After this time a worker gives a report up.
 const REPORT_LIMIT: Duration = Duration::from_secs(4);
 
-impl World {
-    pub(super) fn boot(&mut self, name: &str) {
+impl Simulation {
+    pub(super) fn boot_machine(&mut self, name: &str) {
         let rented = self.cloud.machines.get_mut(name).expect("rented");
-        rented.up = true;
+        rented.booted = true;
         let mut worker = Worker::new(name.into(), rented.zone.clone(), rented.spot, rented.kind.clone(), self.now);
-        worker.run_s = self.task_s;
+        worker.task_duration_s = self.task_duration_s;
         self.workers.insert(name.into(), worker);
     }
 
     /// A machine stops with all that is on it and is back at once, its worker begun anew.
     pub fn restart_worker(&mut self, name: &str) {
-        self.boot(name);
+        self.boot_machine(name);
     }
 
-    pub(super) fn machines_boot(&mut self) {
+    pub(super) fn boot_due_machines(&mut self) {
         let due: Vec<String> = self
             .cloud
             .machines
             .iter()
-            .filter(|(name, m)| !m.up && !self.cloud.stillborn.contains(*name) && self.now >= m.since + self.boot)
+            .filter(|(name, m)| {
+                !m.booted && !self.cloud.never_boot.contains(*name) && self.now >= m.rented_at + self.boot_time
+            })
             .map(|(name, _)| name.clone())
             .collect();
         for name in due {
-            self.boot(&name);
+            self.boot_machine(&name);
         }
     }
 
-    pub(super) fn workers_pass(&mut self) {
-        let (now, nodes) = (self.now, self.slots.len());
+    pub(super) fn advance_workers(&mut self) {
+        let (now, nodes) = (self.now, self.node_processes.len());
         let (lease, period) = (self.facts.worker_lease, self.facts.report_interval);
         let mut reports = Vec::new();
-        self.hang.retain(|_, until| *until > now);
-        self.interrupted.retain(|_, cut| cut.until > now);
-        for worker in self.workers.values_mut().filter(|w| !self.hang.contains_key(&w.name)) {
+        self.frozen_until.retain(|_, until| *until > now);
+        self.interruptions.retain(|_, cut| cut.until > now);
+        for worker in self.workers.values_mut().filter(|w| !self.frozen_until.contains_key(&w.name)) {
             let service = |task: &str| {
                 let id = task.split('/').next().unwrap_or_default();
                 self.specs.get(id).is_some_and(|s| s.kind == Kind::Service)
             };
-            let errors = worker.errors();
-            if worker.pass(now, lease, service) {
-                for task in worker.tasks.iter().filter(|t| t.why == Some(Cause::Done)) {
-                    self.rules.finish(&task.name);
+            let errors = worker.failed_tasks();
+            if worker.advance(now, lease, service) {
+                for task in worker.tasks.iter().filter(|t| t.cause == Some(Cause::Done)) {
+                    self.checker.record_finished_task(&task.name);
                 }
-                self.failed += worker.errors().saturating_sub(errors);
-                worker.next_report = worker.next_report.min(now + Duration::from_millis(500));
+                self.failed_tasks += worker.failed_tasks().saturating_sub(errors);
+                worker.next_report_at = worker.next_report_at.min(now + Duration::from_millis(500));
             }
-            if let Some((_, sent, _)) = worker.waiting
+            if let Some((_, sent, _)) = worker.pending_report
                 && now > sent + REPORT_LIMIT
             {
-                worker.waiting = None;
-                (worker.node, worker.next_report) = ((worker.node + 1) % nodes, now + Duration::from_secs(1));
+                worker.pending_report = None;
+                (worker.node, worker.next_report_at) = ((worker.node + 1) % nodes, now + Duration::from_secs(1));
             }
-            if worker.waiting.is_none() && worker.next_report <= now {
+            if worker.pending_report.is_none() && worker.next_report_at <= now {
                 self.serial += 1;
-                worker.waiting = Some((self.serial, now, worker.session));
-                worker.next_report = now + period;
+                worker.pending_report = Some((self.serial, now, worker.session));
+                worker.next_report_at = now + period;
                 let report = Box::new(worker.report());
                 reports.push(Event::Report {
                     node: worker.node,
@@ -78,23 +80,23 @@
         }
         for event in reports {
             if let Event::Report { machine, .. } = &event
-                && !self.cut.contains(machine)
-                && !self.mute.contains(machine)
+                && !self.partitioned_machines.contains(machine)
+                && !self.lost_reports.contains(machine)
             {
-                if let (true, Event::Report { report, .. }) = (self.keep_for_next.is_some(), &event) {
-                    self.kept.push((machine.clone(), (**report).clone()));
+                if let (true, Event::Report { report, .. }) = (self.replay_reports_after.is_some(), &event) {
+                    self.recorded_reports.push((machine.clone(), (**report).clone()));
                 }
-                let held_by_cut = self.interrupted.get(machine).map(|cut| cut.until);
-                let late = held_by_cut.or(self.hold_reports.get(machine).copied());
-                let by = self.copy_reports.get(machine).copied();
+                let held_by_cut = self.interruptions.get(machine).map(|cut| cut.until);
+                let late = held_by_cut.or(self.delayed_reports_until.get(machine).copied());
+                let by = self.duplicated_reports_after.get(machine).copied();
                 if let (Some(by), Event::Report { machine, report, .. }) = (by, &event) {
                     // A copy has no asker: its answer goes nowhere. It may come to any node.
                     let copies: Vec<Event> = (0..nodes)
                         .map(|node| Event::Report { node, machine: machine.clone(), id: 0, report: report.clone() })
                         .collect();
-                    copies.into_iter().for_each(|copy| self.push(now + by, copy));
+                    copies.into_iter().for_each(|copy| self.schedule(now + by, copy));
                 }
-                self.push(late.unwrap_or(now + HOP), event);
+                self.schedule(late.unwrap_or(now + HOP), event);
             }
         }
     }
--- a/crates/testkit/src/store.rs
+++ b/crates/testkit/src/store.rs
@@ -26,17 +26,17 @@
     /// It answers nobody.
     pub outage: bool,
     /// Limits of a transaction's writes and of a value; what goes beyond fails the test.
-    pub max_ops: usize,
+    pub max_txn_writes: usize,
     /// Bytes of a value; what goes beyond fails the test.
-    pub max_value: usize,
+    pub max_value_bytes: usize,
     /// A refused transaction names only the first key that failed.
-    pub names_one_failure: bool,
+    pub reports_one_failed_condition: bool,
     /// Largest value and page sizes seen, for tests of limits.
-    pub largest_value: usize,
+    pub largest_value_bytes: usize,
     /// Rows per page of a list.
-    pub page: usize,
+    pub page_size: usize,
     /// Changes that are kept for watches.
-    pub kept: usize,
+    pub max_log_events: usize,
     /// Puts and deletes carried out.
     pub writes: u64,
     /// Requests answered, watches apart.
@@ -46,11 +46,17 @@
 impl Store {
     /// An empty store.
     pub fn new() -> Store {
-        Store { page: 1000, kept: KEPT, max_ops: MAX_OPS, max_value: MAX_VALUE, ..Store::default() }
+        Store {
+            page_size: 1000,
+            max_log_events: KEPT,
+            max_txn_writes: MAX_OPS,
+            max_value_bytes: MAX_VALUE,
+            ..Store::default()
+        }
     }
 
     /// Ends leases that were not renewed; returns whether keys changed.
-    pub fn expire(&mut self, now: Duration) -> bool {
+    pub fn expire_leases(&mut self, now: Duration) -> bool {
         if self.outage {
             return false;
         }
@@ -91,7 +97,7 @@
 
     /// The answer to a watch if there is something to tell.
     pub fn watch(&self, prefix: &str, after: u64) -> Option<StoreResponse> {
-        if self.log.len() >= self.kept && self.log.first().is_some_and(|(r, _)| *r > after + 1) {
+        if self.log.len() >= self.max_log_events && self.log.first().is_some_and(|(r, _)| *r > after + 1) {
             return Some(StoreResponse::Compacted);
         }
         let events: Vec<Event> = self
@@ -109,7 +115,7 @@
 
     /// Carries out a call.
     pub fn execute(&mut self, now: Duration, op: &StoreOp) -> StoreResponse {
-        self.expire(now);
+        self.expire_leases(now);
         self.requests += 1;
         match op {
             StoreOp::Get(key) => StoreResponse::Item(self.rows.get(key).map(|(value, version, _)| Item {
@@ -122,15 +128,15 @@
                     .rows
                     .iter()
                     .filter(|(key, _)| key.starts_with(prefix) && *key > after)
-                    .take(self.page + 1)
+                    .take(self.page_size + 1)
                     .map(|(key, (value, version, _))| Item {
                         key: key.clone(),
                         value: value.clone(),
                         version: *version,
                     })
                     .collect();
-                let more = rows.len() > self.page;
-                rows.truncate(self.page);
+                let more = rows.len() > self.page_size;
+                rows.truncate(self.page_size);
                 StoreResponse::Page(Page { rows, more, revision: self.revision })
             }
             StoreOp::Txn(txn) => self.txn(txn),
@@ -156,8 +162,8 @@
     }
 
     fn txn(&mut self, txn: &Txn) -> StoreResponse {
-        assert!(txn.writes.len() <= self.max_ops, "too many writes in a transaction");
-        assert!(txn.conditions.len() <= 4 * self.max_ops, "too many conditions in a transaction");
+        assert!(txn.writes.len() <= self.max_txn_writes, "too many writes in a transaction");
+        assert!(txn.conditions.len() <= 4 * self.max_txn_writes, "too many conditions in a transaction");
         let size = serde_json::to_vec(txn).expect("transactions encode").len();
         assert!(size <= 64 * 1024, "a transaction of {size} bytes");
         for write in &txn.writes {
@@ -170,7 +176,7 @@
         let version = |key: &str| self.rows.get(key).map_or(0, |row| row.1);
         let mut failed: Vec<String> =
             txn.conditions.iter().filter(|c| version(&c.key) != c.version).map(|c| c.key.clone()).collect();
-        if self.names_one_failure {
+        if self.reports_one_failed_condition {
             failed.truncate(1);
         }
         if !failed.is_empty() {
@@ -184,8 +190,8 @@
             match write {
                 Write::Put { key, value, lease } => {
                     let size = serde_json::to_vec(value).expect("values encode").len();
-                    assert!(size <= self.max_value, "{key}: a value of {size} bytes");
-                    self.largest_value = self.largest_value.max(size);
+                    assert!(size <= self.max_value_bytes, "{key}: a value of {size} bytes");
+                    self.largest_value_bytes = self.largest_value_bytes.max(size);
                     self.rows.insert(key.clone(), (value.clone(), self.revision, *lease));
                     let event = Event::Put { key: key.clone(), value: value.clone(), version: self.revision };
                     self.log.push((self.revision, event));
@@ -193,8 +199,8 @@
                 Write::Delete { key } => self.delete(key),
             }
         }
-        if self.log.len() > self.kept {
-            let excess = self.log.len() - self.kept;
+        if self.log.len() > self.max_log_events {
+            let excess = self.log.len() - self.max_log_events;
             self.log.drain(..excess);
         }
         StoreResponse::Committed(self.revision)
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -14,9 +14,9 @@
     /// What it does.
     pub state: TaskState,
     /// Why it has ended.
-    pub why: Option<Cause>,
+    pub cause: Option<Cause>,
     /// When the present state ends by itself.
-    pub until: Duration,
+    pub state_ends_at: Duration,
 }
 
 /// A stand-in for a worker on its machine.
@@ -37,21 +37,21 @@
     /// All tasks on the machine.
     pub tasks: Vec<Task>,
     /// When the last answered report was sent, or the session began.
-    pub lease_from: Duration,
+    pub lease_start: Duration,
     /// The node that it reports to.
     pub node: usize,
     /// When it reports next.
-    pub next_report: Duration,
+    pub next_report_at: Duration,
     /// Identity and sending time of the report that waits for an answer.
-    pub waiting: Option<(u64, Duration, u64)>,
+    pub pending_report: Option<(u64, Duration, u64)>,
     /// Every task that it starts fails.
-    pub fails_all: bool,
+    pub fails_all_tasks: bool,
     /// How long its tasks run.
-    pub run_s: f64,
+    pub task_duration_s: f64,
     /// Seconds until the cloud takes it back, if it gave notice.
     pub notice_s: Option<f64>,
     /// How many times as long as others its tasks take.
-    pub slow: f64,
+    pub slowdown: f64,
 }
 
 impl Worker {
@@ -66,14 +66,14 @@
             seq: 0,
             token: 0,
             tasks: Vec::new(),
-            lease_from: now,
+            lease_start: now,
             node: 0,
-            next_report: now,
-            waiting: None,
-            fails_all: false,
-            run_s: 10.0,
+            next_report_at: now,
+            pending_report: None,
+            fails_all_tasks: false,
+            task_duration_s: 10.0,
             notice_s: None,
-            slow: 1.0,
+            slowdown: 1.0,
         }
     }
 
@@ -97,7 +97,7 @@
                     task: t.name.clone(),
                     attempt: t.attempt,
                     state: t.state,
-                    cause: t.why,
+                    cause: t.cause,
                     saved: None,
                 })
                 .collect(),
@@ -105,36 +105,38 @@
     }
 
     /// Tasks listed as failed.
-    pub fn errors(&self) -> u64 {
-        self.tasks.iter().filter(|t| t.why == Some(Cause::Error)).count() as u64
+    pub fn failed_tasks(&self) -> u64 {
+        self.tasks.iter().filter(|t| t.cause == Some(Cause::Error)).count() as u64
     }
 
     /// Lets time pass: images arrive, tasks end, the lease may run out.
-    pub fn pass(&mut self, now: Duration, lease: Duration, service: impl Fn(&str) -> bool) -> bool {
+    pub fn advance(&mut self, now: Duration, lease: Duration, service: impl Fn(&str) -> bool) -> bool {
         let mut changed = false;
-        if now > self.lease_from + lease {
+        if now > self.lease_start + lease {
             self.tasks.clear();
             self.session += 1;
-            self.lease_from = now;
+            self.lease_start = now;
             changed = true;
         }
         for task in &mut self.tasks {
-            if now < task.until {
+            if now < task.state_ends_at {
                 continue;
             }
             match task.state {
-                TaskState::Fetching if self.fails_all => {
-                    (task.state, task.why) = (TaskState::Exited, Some(Cause::Error))
+                TaskState::Fetching if self.fails_all_tasks => {
+                    (task.state, task.cause) = (TaskState::Exited, Some(Cause::Error))
                 }
                 TaskState::Fetching => {
                     task.state = TaskState::Running;
                     // Tasks of one job differ a little.
                     let number: u32 = task.name.rsplit('/').next().and_then(|n| n.parse().ok()).unwrap_or(0);
-                    let run = Duration::from_secs_f64(self.run_s * self.slow * (1.0 + 0.03 * f64::from(number % 5)));
-                    task.until = if service(&task.name) { Duration::MAX } else { now + run };
+                    let run = Duration::from_secs_f64(
+                        self.task_duration_s * self.slowdown * (1.0 + 0.03 * f64::from(number % 5)),
+                    );
+                    task.state_ends_at = if service(&task.name) { Duration::MAX } else { now + run };
                 }
-                TaskState::Running => (task.state, task.why) = (TaskState::Exited, Some(Cause::Done)),
-                TaskState::Saving => (task.state, task.why) = (TaskState::Exited, Some(Cause::Stopped)),
+                TaskState::Running => (task.state, task.cause) = (TaskState::Exited, Some(Cause::Done)),
+                TaskState::Saving => (task.state, task.cause) = (TaskState::Exited, Some(Cause::Stopped)),
                 TaskState::Exited => continue,
             }
             changed = true;
@@ -143,26 +145,26 @@
     }
 
     /// An answer to a report; dropped if its token is too low.
-    pub fn answered(&mut self, now: Duration, sent: Duration, session: u64, orders: &Orders) {
+    pub fn handle_report_response(&mut self, now: Duration, sent: Duration, session: u64, orders: &Orders) {
         if orders.token < self.token || session != self.session {
             return;
         }
         self.token = orders.token;
-        self.lease_from = self.lease_from.max(sent);
-        self.obey(now, &orders.orders);
+        self.lease_start = self.lease_start.max(sent);
+        self.execute_orders(now, &orders.orders);
     }
 
     /// Direct orders; the status of the answer.
-    pub fn direct(&mut self, now: Duration, orders: &Orders) -> u16 {
+    pub fn handle_direct_call(&mut self, now: Duration, orders: &Orders) -> u16 {
         if orders.token < self.token || orders.session != Some(self.session) {
             return 409;
         }
         self.token = orders.token;
-        self.obey(now, &orders.orders);
+        self.execute_orders(now, &orders.orders);
         200
     }
 
-    fn obey(&mut self, now: Duration, orders: &[Order]) {
+    fn execute_orders(&mut self, now: Duration, orders: &[Order]) {
         for order in orders {
             match order {
                 Order::Start { task, attempt } => {
@@ -170,21 +172,21 @@
                         continue;
                     }
                     let busy = self.tasks.iter().any(|t| t.name == *task && t.state != TaskState::Exited);
-                    let (state, why) = if busy {
+                    let (state, cause) = if busy {
                         (TaskState::Exited, Some(Cause::AttemptConflict))
                     } else {
                         (TaskState::Fetching, None)
                     };
-                    let until = now + Duration::from_millis(500);
-                    self.tasks.push(Task { name: task.clone(), attempt: *attempt, state, why, until });
+                    let state_ends_at = now + Duration::from_millis(500);
+                    self.tasks.push(Task { name: task.clone(), attempt: *attempt, state, cause, state_ends_at });
                 }
                 Order::Stop { task, attempt, grace_s } => {
                     for t in self.tasks.iter_mut().filter(|t| t.name == *task && t.attempt == *attempt) {
                         if t.state == TaskState::Running && *grace_s > 0.0 {
                             t.state = TaskState::Saving;
-                            t.until = now + Duration::from_secs_f64(*grace_s);
+                            t.state_ends_at = now + Duration::from_secs_f64(*grace_s);
                         } else if t.state != TaskState::Exited {
-                            (t.state, t.why) = (TaskState::Exited, Some(Cause::Stopped));
+                            (t.state, t.cause) = (TaskState::Exited, Some(Cause::Stopped));
                         }
                     }
                 }
