--- a/crates/rushyoke/src/http_client.rs
+++ b/crates/rushyoke/src/http_client.rs
@@ -1,5 +1,5 @@
-//! A small HTTP/1.1 client: a few kept connections per address, deadlines, and an
-//! honest account of whether a request may have been carried out.
+//! HTTP/1.1 client with a small pool of idle connections and timeouts. Its outcomes tell whether a request may have
+//! been carried out.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -18,63 +18,72 @@
 
 use crate::stats::{Counter, Stats};
 
+/// Sending half of a connection.
 type Sender = SendRequest<Full<Bytes>>;
 
-/// Connections kept per address while idle.
-const KEPT: usize = 4;
+/// Idle connections kept per address.
+const MAX_IDLE_PER_ADDR: usize = 4;
 
+/// HTTP client whose clones share one pool of idle connections.
 #[derive(Clone)]
 pub struct HttpClient {
-    /// Idle connections, the most recently used last.
+    /// Idle connections in the order of their last use, the most recent last.
     idle: Rc<RefCell<VecDeque<(SocketAddr, Sender)>>>,
     idle_limit: IdleLimit,
     stats: Rc<RefCell<Stats>>,
 }
 
-/// How many idle connections are kept: a share of our own, and what those that others may
-/// open leave free. To open one costs several times what an exchange on it does.
+/// Limit of the idle connections: a reserved number, and the sockets that inbound connections leave free. Idle
+/// connections are worth keeping, since opening one costs several times as much as a request on it.
 #[derive(Clone)]
 pub struct IdleLimit {
+    /// Idle connections that are allowed at any time.
     pub reserved: usize,
-    /// Connections that others have open, and the most that they may.
+    /// Number of open inbound connections.
     pub inbound: Rc<Cell<usize>>,
+    /// Limit of the open inbound connections.
     pub max_inbound: usize,
 }
 
 impl IdleLimit {
+    /// Returns the number of idle connections allowed now.
     fn max_idle(&self) -> usize {
-        // Some stay free for what is opened at the same moment, or is about to be closed.
+        // An eighth stays free for connections that are being opened or are not closed yet.
         self.reserved + (self.max_inbound - self.max_inbound / 8).saturating_sub(self.inbound.get())
     }
 }
 
+/// HTTP request with its limits.
 pub struct OutgoingRequest {
     pub addr: SocketAddr,
     pub method: Method,
     pub path: String,
     pub body: Bytes,
     pub connect_timeout: Duration,
+    /// Time from sending the request until the whole response has been read.
     pub response_timeout: Duration,
-    /// Largest answer that is read.
+    /// Largest response body that is read. A larger one counts as an empty body.
     pub max_response_bytes: usize,
 }
 
 impl HttpClient {
+    /// Creates a client without connections.
     pub fn new(idle_limit: IdleLimit, stats: Rc<RefCell<Stats>>) -> HttpClient {
         HttpClient { idle: Rc::default(), idle_limit, stats }
     }
 
+    /// Sends a request on an idle connection or a new one. Returns the status and the body of the response.
     pub async fn request(&self, request: OutgoingRequest) -> Outcome<(u16, Bytes)> {
-        while let Some(sender) = self.take(request.addr) {
+        while let Some(sender) = self.take_idle(request.addr) {
             match self.send(sender, &request).await {
-                // A kept connection that had ended: nothing was sent.
+                // The idle connection had been closed; nothing was sent.
                 Outcome::NotExecuted => continue,
                 outcome => return outcome,
             }
         }
         let stream = match timeout(request.connect_timeout, TcpStream::connect(request.addr)).await {
             Ok(Ok(stream)) => stream,
-            // An attempt to connect that was given up does not complete later.
+            // An abandoned attempt to connect cannot complete later.
             _ => return Outcome::NotExecuted,
         };
         self.stats.borrow_mut().increment(Counter::ConnectionsOpened);
@@ -86,10 +95,11 @@
         self.send(sender, &request).await
     }
 
-    fn take(&self, addr: SocketAddr) -> Option<Sender> {
+    /// Removes and returns the most recently used open connection to an address.
+    fn take_idle(&self, addr: SocketAddr) -> Option<Sender> {
         let mut idle = self.idle.borrow_mut();
-        while let Some(at) = idle.iter().rposition(|(kept, _)| *kept == addr) {
-            let (_, sender) = idle.remove(at)?;
+        while let Some(position) = idle.iter().rposition(|(idle_addr, _)| *idle_addr == addr) {
+            let (_, sender) = idle.remove(position)?;
             if sender.is_ready() {
                 return Some(sender);
             }
@@ -97,9 +107,12 @@
         None
     }
 
-    fn keep(&self, addr: SocketAddr, sender: Sender) {
+    /// Returns a connection to the pool, unless enough are kept for its address.
+    fn keep_idle(&self, addr: SocketAddr, sender: Sender) {
         let mut idle = self.idle.borrow_mut();
-        if idle.iter().rev().filter(|(kept, _)| *kept == addr).take(KEPT).count() == KEPT {
+        if idle.iter().rev().filter(|(idle_addr, _)| *idle_addr == addr).take(MAX_IDLE_PER_ADDR).count()
+            == MAX_IDLE_PER_ADDR
+        {
             return;
         }
         idle.push_back((addr, sender));
@@ -107,7 +120,7 @@
         self.trim_idle();
     }
 
-    /// Others have opened connections: those idle for longest make room for them.
+    /// Closes the connections that have been idle for longest until their number is within the limit.
     pub fn trim_idle(&self) {
         let mut idle = self.idle.borrow_mut();
         while idle.len() > self.idle_limit.max_idle() {
@@ -115,11 +128,12 @@
         }
     }
 
-    /// Closes what is kept for an address that stopped answering.
-    fn close(&self, addr: SocketAddr) {
-        self.idle.borrow_mut().retain(|(kept, _)| *kept != addr);
+    /// Closes the idle connections to an address that does not respond.
+    fn close_idle(&self, addr: SocketAddr) {
+        self.idle.borrow_mut().retain(|(idle_addr, _)| *idle_addr != addr);
     }
 
+    /// Sends a request on a connection and reads the response.
     async fn send(&self, mut sender: Sender, request: &OutgoingRequest) -> Outcome<(u16, Bytes)> {
         let message = Request::builder()
             .method(request.method.clone())
@@ -130,44 +144,44 @@
         let Ok(message) = message else {
             return Outcome::NotExecuted;
         };
-        let answer = async {
-            let response = sender.try_send_request(message).await.map_err(|mut e| {
-                // The request comes back if it was never written.
-                e.take_message().is_some()
+        let exchange = async {
+            let response = sender.try_send_request(message).await.map_err(|mut error| {
+                // The error contains the request if it was never written.
+                error.take_message().is_some()
             })?;
             let status = response.status().as_u16();
             let body = match Limited::new(response.into_body(), request.max_response_bytes).collect().await {
                 Ok(body) => body.to_bytes(),
-                // Too large to be read: the status says that it was carried out.
+                // The body is too large to read, but the status shows that the request was carried out.
                 Err(error) if error.downcast_ref::<LengthLimitError>().is_some() => Bytes::new(),
                 Err(_) => return Err(false),
             };
             Ok((status, body))
         };
-        match timeout(request.response_timeout, answer).await {
-            Ok(Ok(answer)) => {
-                self.keep_when_ready(request.addr, sender);
-                Outcome::Responded(answer)
+        match timeout(request.response_timeout, exchange).await {
+            Ok(Ok(response)) => {
+                self.keep_idle_when_ready(request.addr, sender);
+                Outcome::Responded(response)
             }
             Ok(Err(true)) => Outcome::NotExecuted,
             Ok(Err(false)) => Outcome::Unknown,
             Err(_) => {
-                self.close(request.addr);
+                self.close_idle(request.addr);
                 Outcome::Unknown
             }
         }
     }
 
-    /// A connection is ready again a moment after its answer was read.
-    fn keep_when_ready(&self, addr: SocketAddr, mut sender: Sender) {
+    /// Returns a connection to the pool once it is ready, which may be a moment after its response was read.
+    fn keep_idle_when_ready(&self, addr: SocketAddr, mut sender: Sender) {
         if sender.is_ready() {
-            self.keep(addr, sender);
+            self.keep_idle(addr, sender);
             return;
         }
-        let http = self.clone();
+        let client = self.clone();
         tokio::task::spawn_local(async move {
             if let Ok(Ok(())) = timeout(Duration::from_secs(1), sender.ready()).await {
-                http.keep(addr, sender);
+                client.keep_idle(addr, sender);
             }
         });
     }
--- a/crates/rushyoke/src/outbound.rs
+++ b/crates/rushyoke/src/outbound.rs
@@ -1,6 +1,5 @@
-//! The calls to the state service, the cloud, the workers and the other controllers:
-//! how each looks on the wire, and what its answer means. A malformed answer is logged
-//! and counts as none.
+//! Calls to the state service, the cloud, the workers and the other controllers: encodes the requests and interprets
+//! the responses. A malformed response is logged and its outcome is unknown.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,22 +16,25 @@
 
 use crate::http_client::{HttpClient, OutgoingRequest};
 
-/// What a watch may take beyond the time it waits: one that hangs is soon opened again, since
-/// the leader may answer no worker for long without it.
+/// Time that a watch may take beyond its own waiting time. It is short, so that a hanging watch is soon replaced: a
+/// leader that has been without a watch for too long must stop responding to workers.
 const WATCH_GRACE: Duration = Duration::from_millis(1500);
 const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
 const CLOUD_TIMEOUT: Duration = Duration::from_secs(5);
 const WORKER_TIMEOUT: Duration = Duration::from_secs(3);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Workers wait for four seconds for what a busy leader is asked to answer.
+/// Workers wait 4 seconds for the response to a report, and a busy leader needs part of that time.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Timeout for connecting, except to workers, for which it is `PROBE_TIMEOUT`.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Largest response body that is read.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
-/// Machines per page of the list.
+/// Machines per page of the cloud's list.
 const MACHINES_PER_PAGE: usize = 500;
 
-fn outgoing(
+/// Builds a request with the default timeout for connecting and the default limit of the response.
+fn request_to(
     addr: SocketAddr,
     method: Method,
     path: impl Into<String>,
@@ -50,169 +52,195 @@
     }
 }
 
-fn json<T: Serialize>(body: &T) -> Vec<u8> {
+/// Encodes the body of a request.
+fn encode_json<T: Serialize>(body: &T) -> Vec<u8> {
     serde_json::to_vec(body).expect("requests always encode")
 }
 
-/// Reads an answer's body; anything malformed counts as no answer.
-fn parse<T: DeserializeOwned>(what: &str, body: &Bytes) -> Option<T> {
+/// Parses the body of a response. Logs a malformed one.
+fn parse_json<T: DeserializeOwned>(service: &str, body: &Bytes) -> Option<T> {
     match serde_json::from_slice(body) {
         Ok(value) => Some(value),
         Err(error) => {
-            tracing::error!(what, %error, "malformed answer");
+            tracing::error!(what = service, %error, "malformed response");
             None
         }
     }
 }
 
-fn known<T>(answer: Option<T>) -> Outcome<T> {
-    answer.map_or(Outcome::Unknown, Outcome::Responded)
+/// Returns the outcome of a call from its parsed response; `None` means a malformed one.
+fn responded_or_unknown<T>(response: Option<T>) -> Outcome<T> {
+    response.map_or(Outcome::Unknown, Outcome::Responded)
 }
 
-fn unexpected<T>(what: &str, status: u16) -> Outcome<T> {
-    tracing::error!(what, status, "unexpected answer");
+/// Logs a response with an unexpected status. Returns the outcome of its call.
+fn unexpected_status<T>(service: &str, status: u16) -> Outcome<T> {
+    tracing::error!(what = service, status, "unexpected response status");
     Outcome::Unknown
 }
 
-pub async fn call_store(http: &HttpClient, addr: SocketAddr, op: StoreOp) -> Outcome<StoreResponse> {
+/// Calls the state service.
+pub async fn call_store(client: &HttpClient, addr: SocketAddr, op: StoreOp) -> Outcome<StoreResponse> {
     let request = match &op {
-        StoreOp::Get(key) => outgoing(addr, Method::GET, format!("/kv/{key}"), Vec::new(), STORE_TIMEOUT),
+        StoreOp::Get(key) => request_to(addr, Method::GET, format!("/kv/{key}"), Vec::new(), STORE_TIMEOUT),
         StoreOp::List { prefix, after } => {
             let after = if after.is_empty() { String::new() } else { format!("&since={after}") };
-            outgoing(addr, Method::GET, format!("/kv?starts={prefix}{after}&most=1000"), Vec::new(), STORE_TIMEOUT)
+            request_to(addr, Method::GET, format!("/kv?starts={prefix}{after}&most=1000"), Vec::new(), STORE_TIMEOUT)
         }
-        StoreOp::Txn(txn) => outgoing(addr, Method::POST, "/txn", json(txn), STORE_TIMEOUT),
+        StoreOp::Txn(txn) => request_to(addr, Method::POST, "/txn", encode_json(txn), STORE_TIMEOUT),
         StoreOp::NewLease { ttl_ms } => {
-            outgoing(addr, Method::POST, "/leases", json(&NewLease { ttl_ms: *ttl_ms }), STORE_TIMEOUT)
+            request_to(addr, Method::POST, "/leases", encode_json(&NewLease { ttl_ms: *ttl_ms }), STORE_TIMEOUT)
         }
         StoreOp::RenewLease(lease) => {
-            outgoing(addr, Method::POST, format!("/leases/{lease}/touch"), Vec::new(), STORE_TIMEOUT)
+            request_to(addr, Method::POST, format!("/leases/{lease}/touch"), Vec::new(), STORE_TIMEOUT)
         }
         StoreOp::EndLease(lease) => {
-            outgoing(addr, Method::DELETE, format!("/leases/{lease}"), Vec::new(), STORE_TIMEOUT)
+            request_to(addr, Method::DELETE, format!("/leases/{lease}"), Vec::new(), STORE_TIMEOUT)
         }
         StoreOp::Watch { prefix, after, wait_ms } => {
             let path = format!("/changes?starts={prefix}&since={after}&block_ms={wait_ms}");
-            outgoing(addr, Method::GET, path, Vec::new(), Duration::from_millis(*wait_ms) + WATCH_GRACE)
+            request_to(addr, Method::GET, path, Vec::new(), Duration::from_millis(*wait_ms) + WATCH_GRACE)
         }
     };
-    let (status, body) = match http.request(request).await {
-        Outcome::Responded(answer) => answer,
+    let (status, body) = match client.request(request).await {
+        Outcome::Responded(response) => response,
         Outcome::NotExecuted => return Outcome::NotExecuted,
         Outcome::Unknown => return Outcome::Unknown,
     };
     if matches!(status, 429 | 503) {
-        tracing::debug!(status, ?op, "the state service declines");
-        let answer = if status == 429 { StoreResponse::RateLimited } else { StoreResponse::Unavailable };
-        return Outcome::Responded(answer);
+        tracing::debug!(status, ?op, "the state service rejected a call");
+        let response = if status == 429 { StoreResponse::RateLimited } else { StoreResponse::Unavailable };
+        return Outcome::Responded(response);
     }
     match (&op, status) {
-        (StoreOp::Get(_), 200) => known(parse::<Item>("state", &body).map(|item| StoreResponse::Item(Some(item)))),
+        (StoreOp::Get(_), 200) => {
+            responded_or_unknown(parse_json::<Item>("state", &body).map(|item| StoreResponse::Item(Some(item))))
+        }
         (StoreOp::Get(_), 404) => Outcome::Responded(StoreResponse::Item(None)),
-        (StoreOp::List { .. }, 200) => known(parse::<Page>("state", &body).map(StoreResponse::Page)),
-        (StoreOp::Txn(_), 200) => {
-            known(parse::<Committed>("state", &body).map(|c| StoreResponse::Committed(c.revision)))
+        (StoreOp::List { .. }, 200) => {
+            responded_or_unknown(parse_json::<Page>("state", &body).map(StoreResponse::Page))
         }
-        (StoreOp::Txn(_), 409) => {
-            known(parse::<Refused>("state", &body).map(|r| StoreResponse::ConditionsFailed(r.failed)))
+        (StoreOp::Txn(_), 200) => {
+            responded_or_unknown(parse_json::<Committed>("state", &body).map(|c| StoreResponse::Committed(c.revision)))
         }
+        (StoreOp::Txn(_), 409) => responded_or_unknown(
+            parse_json::<Refused>("state", &body).map(|r| StoreResponse::ConditionsFailed(r.failed)),
+        ),
         (StoreOp::Txn(_), 400) => {
             let text = String::from_utf8_lossy(&body);
             if !text.contains("no such lease") {
-                tracing::error!(%text, "the state service calls a transaction malformed");
+                tracing::error!(%text, "the state service rejected a transaction as malformed");
             }
             Outcome::Responded(StoreResponse::NoSuchLease)
         }
-        (StoreOp::NewLease { .. }, 200) => known(parse::<Lease>("state", &body).map(|l| StoreResponse::Lease(l.lease))),
+        (StoreOp::NewLease { .. }, 200) => {
+            responded_or_unknown(parse_json::<Lease>("state", &body).map(|l| StoreResponse::Lease(l.lease)))
+        }
         (StoreOp::RenewLease(_) | StoreOp::EndLease(_), 200 | 204) => Outcome::Responded(StoreResponse::LeaseOk),
         (StoreOp::RenewLease(_) | StoreOp::EndLease(_), 404) => Outcome::Responded(StoreResponse::NoSuchLease),
-        // Changes have no size limit. More than can be taken are as good as too old: what they
-        // concern is read again, in pages.
+        // The size of the changes is not limited. A body too large to read is empty here and is handled like
+        // compacted changes: the keys are read again, in pages.
         (StoreOp::Watch { .. }, 200) if body.is_empty() => Outcome::Responded(StoreResponse::Compacted),
-        (StoreOp::Watch { .. }, 200) => known(parse::<Changes>("state", &body).map(StoreResponse::Changes)),
+        (StoreOp::Watch { .. }, 200) => {
+            responded_or_unknown(parse_json::<Changes>("state", &body).map(StoreResponse::Changes))
+        }
         (StoreOp::Watch { .. }, 410) => Outcome::Responded(StoreResponse::Compacted),
-        _ => unexpected("state", status),
+        _ => unexpected_status("state", status),
     }
 }
 
-pub async fn call_cloud(http: &HttpClient, addr: SocketAddr, op: CloudOp) -> Outcome<CloudResponse> {
+/// Calls the cloud.
+pub async fn call_cloud(client: &HttpClient, addr: SocketAddr, op: CloudOp) -> Outcome<CloudResponse> {
     let request = match &op {
-        CloudOp::Types => outgoing(addr, Method::GET, "/flavors", Vec::new(), CLOUD_TIMEOUT),
-        CloudOp::Rent(rental) => outgoing(addr, Method::POST, "/machines", json(rental), CLOUD_TIMEOUT),
-        CloudOp::Release(machines) => outgoing(
+        CloudOp::Types => request_to(addr, Method::GET, "/flavors", Vec::new(), CLOUD_TIMEOUT),
+        CloudOp::Rent(rental) => request_to(addr, Method::POST, "/machines", encode_json(rental), CLOUD_TIMEOUT),
+        CloudOp::Release(machines) => request_to(
             addr,
             Method::POST,
             "/machines/release",
-            json(&MachineNames { machines: machines.clone() }),
+            encode_json(&MachineNames { machines: machines.clone() }),
             CLOUD_TIMEOUT,
         ),
         CloudOp::List { after } => {
             let after = after.as_ref().map(|a| format!("since={a}&")).unwrap_or_default();
-            outgoing(addr, Method::GET, format!("/machines?{after}most={MACHINES_PER_PAGE}"), Vec::new(), CLOUD_TIMEOUT)
+            request_to(
+                addr,
+                Method::GET,
+                format!("/machines?{after}most={MACHINES_PER_PAGE}"),
+                Vec::new(),
+                CLOUD_TIMEOUT,
+            )
         }
     };
-    let (status, body) = match http.request(request).await {
-        Outcome::Responded(answer) => answer,
+    let (status, body) = match client.request(request).await {
+        Outcome::Responded(response) => response,
         Outcome::NotExecuted => return Outcome::NotExecuted,
         Outcome::Unknown => return Outcome::Unknown,
     };
     match (&op, status) {
-        (CloudOp::Types, 200) => known(parse::<MachineTypes>("cloud", &body).map(|t| CloudResponse::Types(t.types))),
+        (CloudOp::Types, 200) => {
+            responded_or_unknown(parse_json::<MachineTypes>("cloud", &body).map(|t| CloudResponse::Types(t.types)))
+        }
         (CloudOp::Rent(_), 200) => {
-            known(parse::<MachineNames>("cloud", &body).map(|n| CloudResponse::Rented(n.machines)))
+            responded_or_unknown(parse_json::<MachineNames>("cloud", &body).map(|n| CloudResponse::Rented(n.machines)))
         }
         (CloudOp::Release(_), 200) => Outcome::Responded(CloudResponse::Released),
-        (CloudOp::List { .. }, 200) => known(parse::<Listing>("cloud", &body).map(CloudResponse::Listing)),
+        (CloudOp::List { .. }, 200) => {
+            responded_or_unknown(parse_json::<Listing>("cloud", &body).map(CloudResponse::Listing))
+        }
         (CloudOp::Rent(_), 503) if String::from_utf8_lossy(&body).contains("no capacity") => {
             Outcome::Responded(CloudResponse::NoCapacity)
         }
         (_, 429 | 503) => {
-            tracing::debug!(status, "the cloud declines");
+            tracing::debug!(status, "the cloud rejected a call");
             Outcome::Responded(CloudResponse::Unavailable)
         }
-        _ => unexpected("cloud", status),
+        _ => unexpected_status("cloud", status),
     }
 }
 
-/// Direct orders; the outcome is the status and the worker's report. The answer to a probe, which asks for a sign
-/// of life, must not take long.
-pub async fn send_orders(http: &HttpClient, addr: &str, orders: &Orders, probe: bool) -> Outcome<(u16, Report)> {
+/// Sends orders directly to a worker. Returns the status and the report that it responds with. A probe, made only to
+/// see whether the worker is alive, has the shorter timeout.
+pub async fn send_orders(client: &HttpClient, addr: &str, orders: &Orders, probe: bool) -> Outcome<(u16, Report)> {
     let Ok(addr) = addr.parse::<SocketAddr>() else {
-        tracing::error!(addr, "a worker's address cannot be used");
+        tracing::error!(addr, "invalid worker address");
         return Outcome::NotExecuted;
     };
-    let wait = if probe { PROBE_TIMEOUT } else { WORKER_TIMEOUT };
+    let response_timeout = if probe { PROBE_TIMEOUT } else { WORKER_TIMEOUT };
     let request = OutgoingRequest {
         connect_timeout: PROBE_TIMEOUT,
-        ..outgoing(addr, Method::POST, "/orders", json(orders), wait)
+        ..request_to(addr, Method::POST, "/orders", encode_json(orders), response_timeout)
     };
-    match http.request(request).await {
+    match client.request(request).await {
         Outcome::Responded((status @ (200 | 409), body)) => {
-            known(parse("worker", &body).map(|report| (status, report)))
+            responded_or_unknown(parse_json("worker", &body).map(|report| (status, report)))
         }
-        Outcome::Responded((status, _)) => unexpected("worker", status),
+        Outcome::Responded((status, _)) => unexpected_status("worker", status),
         Outcome::NotExecuted => Outcome::NotExecuted,
         Outcome::Unknown => Outcome::Unknown,
     }
 }
 
-pub async fn call_peer(http: &HttpClient, addr: SocketAddr, message: &PeerRequest) -> Outcome<PeerResponse> {
-    to_peer(http, addr, "/peer", message, PEER_TIMEOUT).await
+/// Sends a message to another controller.
+pub async fn call_peer(client: &HttpClient, addr: SocketAddr, message: &PeerRequest) -> Outcome<PeerResponse> {
+    post_to_peer(client, addr, "/peer", message, PEER_TIMEOUT).await
 }
 
-pub async fn relay_reports(http: &HttpClient, addr: SocketAddr, message: &RelayRequest) -> Outcome<RelayResponse> {
-    to_peer(http, addr, "/relay", message, RELAY_TIMEOUT).await
+/// Relays workers' reports to the leader.
+pub async fn relay_reports(client: &HttpClient, addr: SocketAddr, message: &RelayRequest) -> Outcome<RelayResponse> {
+    post_to_peer(client, addr, "/relay", message, RELAY_TIMEOUT).await
 }
 
-async fn to_peer<A: Serialize, T: for<'a> serde::Deserialize<'a>>(
-    http: &HttpClient,
+/// Posts an encoded message to another controller and decodes the response.
+async fn post_to_peer<A: Serialize, T: for<'a> serde::Deserialize<'a>>(
+    client: &HttpClient,
     addr: SocketAddr,
     path: &str,
     message: &A,
-    wait: Duration,
+    response_timeout: Duration,
 ) -> Outcome<T> {
-    match http.request(outgoing(addr, Method::POST, path, encode(message), wait)).await {
-        Outcome::Responded((200, body)) => known(decode(&body)),
+    match client.request(request_to(addr, Method::POST, path, encode(message), response_timeout)).await {
+        Outcome::Responded((200, body)) => responded_or_unknown(decode(&body)),
         _ => Outcome::Unknown,
     }
 }
--- a/crates/rushyoke/src/pacing.rs
+++ b/crates/rushyoke/src/pacing.rs
@@ -1,9 +1,9 @@
-//! Bounded slices of what others send: after a few reads from their connections the process looks
-//! for its own answers before it goes on.
+//! Paces the reads from inbound connections in bounded slices. Between two slices the process handles the responses
+//! to its own calls.
 //!
-//! Guards the leader's lease against a crowd. When all workers come at once, on a small machine,
-//! what is ready to be read takes seconds to serve; an answer of the state service that came
-//! meanwhile would wait behind all of it.
+//! This protects the leader's lease when all workers connect at once: on a small machine it takes seconds to serve
+//! everything that is ready to be read, and without pacing a response of the state service that arrives meanwhile
+//! would wait behind all of it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -14,55 +14,59 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Reads from others' connections in one slice.
-const SLICE: u32 = 16;
+/// Reads from inbound connections in one slice.
+const READS_PER_SLICE: u32 = 16;
 
-/// Shared by all connections that others opened.
+/// Admits reads from inbound connections, slice by slice. Its clones share one state.
 #[derive(Clone, Default)]
-pub struct Pacer(Rc<Inner>);
+pub struct Pacer(Rc<Shared>);
 
+/// State shared by the clones of a `Pacer`.
 #[derive(Default)]
-struct Inner {
-    used: Cell<u32>,
-    /// Connections, in their order, that wait for the next slice.
-    waiting: RefCell<VecDeque<Waker>>,
+struct Shared {
+    /// Reads in the current slice.
+    reads: Cell<u32>,
+    /// Connections that wait for a later slice, the first to be served first.
+    waiters: RefCell<VecDeque<Waker>>,
+    /// Notified when a read does not fit into the current slice.
     exhausted: tokio::sync::Notify,
 }
 
 impl Pacer {
-    /// Whether one more read fits into this slice; else it is woken in a later one.
-    fn admit(&self, cx: &mut Context<'_>) -> bool {
-        if self.0.used.get() < SLICE {
+    /// Returns whether one more read fits into this slice. If not, wakes the task in a later one.
+    fn try_admit(&self, cx: &mut Context<'_>) -> bool {
+        if self.0.reads.get() < READS_PER_SLICE {
             return true;
         }
-        self.0.waiting.borrow_mut().push_back(cx.waker().clone());
+        self.0.waiters.borrow_mut().push_back(cx.waker().clone());
         self.0.exhausted.notify_one();
         false
     }
 
-    fn spend(&self) {
-        self.0.used.set(self.0.used.get() + 1);
+    /// Counts a read in the current slice.
+    fn count_read(&self) {
+        self.0.reads.set(self.0.reads.get() + 1);
     }
 
-    /// Waits until another connection may be accepted, and counts it.
+    /// Waits until another connection may be accepted, and counts it as a read.
     pub async fn acquire(&self) {
-        std::future::poll_fn(|cx| if self.admit(cx) { Poll::Ready(()) } else { Poll::Pending }).await;
-        self.spend();
+        std::future::poll_fn(|cx| if self.try_admit(cx) { Poll::Ready(()) } else { Poll::Pending }).await;
+        self.count_read();
     }
 
-    /// Begins slice after slice, forever. What is ready to be read is looked for in between, and
-    /// served first if it is not paced.
+    /// Starts a new slice whenever one is exhausted. In between, the runtime polls the sockets and serves those
+    /// that are not paced.
     pub async fn run(self) {
         loop {
             self.0.exhausted.notified().await;
-            // Goes on only after the runtime has looked at the sockets.
+            // Resumes only after the runtime has polled the sockets.
             tokio::task::yield_now().await;
-            self.0.used.set(0);
-            let mut waiting = self.0.waiting.borrow_mut();
-            let next = waiting.len().min(SLICE as usize);
-            let woken: Vec<Waker> = waiting.drain(..next).collect();
-            let more = !waiting.is_empty();
-            drop(waiting);
+            self.0.reads.set(0);
+            let mut waiters = self.0.waiters.borrow_mut();
+            let next = waiters.len().min(READS_PER_SLICE as usize);
+            let woken: Vec<Waker> = waiters.drain(..next).collect();
+            let more = !waiters.is_empty();
+            drop(waiters);
             woken.into_iter().for_each(Waker::wake);
             if more {
                 self.0.exhausted.notify_one();
@@ -71,7 +75,7 @@
     }
 }
 
-/// A connection whose reads are paced.
+/// Inbound connection whose reads are paced.
 pub struct PacedStream<S> {
     pub stream: S,
     pub pacer: Pacer,
@@ -79,12 +83,12 @@
 
 impl<S: AsyncRead + Unpin> AsyncRead for PacedStream<S> {
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        if !self.pacer.admit(cx) {
+        if !self.pacer.try_admit(cx) {
             return Poll::Pending;
         }
         let polled = Pin::new(&mut self.stream).poll_read(cx, buf);
         if polled.is_ready() {
-            self.pacer.spend();
+            self.pacer.count_read();
         }
         polled
     }
