--- a/crates/rushyoke/src/driver.rs
+++ b/crates/rushyoke/src/driver.rs
@@ -1,4 +1,5 @@
-//! The loop around the core: feeds it inputs and time, carries out what it returns.
+//! Event loop of a controller: passes requests, call outcomes and ticks to the core as inputs, and carries out the
+//! outputs that the core returns.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -22,71 +23,81 @@
 use crate::settings::Settings;
 use crate::stats::{Latency, Stats};
 
-const TICK: Duration = Duration::from_millis(100);
-/// Weight of the last tick in how busy the process is.
-const GAUGE: f64 = 0.05;
-/// Health checks and controllers' questions that wait for the core.
-const FIRST: usize = 64;
-/// Calls to the state service may come in bursts of so many seconds' worth.
-const STORE_BURST: f64 = 0.4;
-/// The leader's share of the state service's budget; the others share the rest.
-const LEAD_SHARE: f64 = 0.55;
-/// The leader alone uses the cloud, apart from the others' first look at the types.
+/// Interval of the core's `Tick` inputs.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Weight of the latest tick in the moving average of the processor load.
+const LOAD_SMOOTHING: f64 = 0.05;
+/// Number of health checks and peer requests that may wait for the core.
+const PRIORITY_QUEUE_SIZE: usize = 64;
+/// Largest burst of calls to the state service, in seconds' worth of its rate limit.
+const STORE_BURST_S: f64 = 0.4;
+/// The leader's share of the state service's rate limits. The other nodes share the rest equally.
+const LEADER_STORE_SHARE: f64 = 0.55;
+/// Share of the cloud's rate limit that this node uses. Only the leader calls the cloud, apart from the other
+/// nodes' first request for the machine types.
 const CLOUD_SHARE: f64 = 0.8;
 
-struct Waiting {
-    answer: oneshot::Sender<HttpResponse>,
-    submission: bool,
-    since: Instant,
+/// Request that waits for a response from the core.
+struct PendingResponse {
+    response_sender: oneshot::Sender<HttpResponse>,
+    is_submission: bool,
+    received_at: Instant,
 }
 
+/// A node with its queues, its connections and the requests that wait for it.
 struct Driver {
     node: Node,
     client: HttpClient,
-    store: RateLimitedQueue<(CallId, StoreOp)>,
-    /// Requests and changes a second that the state service will allow from some moment on, which its
-    /// first 429 may show.
-    next_limits: Option<(f64, f64)>,
-    limited: Rc<Cell<bool>>,
-    /// Calls to the state service under way, and the most: while it is slow or silent they
-    /// must not use up the sockets. Leadership passes, and watches do not count.
+    store_queue: RateLimitedQueue<(CallId, StoreOp)>,
+    /// Announced requests and writes per second of the state service. They apply from its first 429 response on.
+    upcoming_store_rates: Option<(f64, f64)>,
+    /// Whether the state service has ever responded with 429.
+    rate_limited: Rc<Cell<bool>>,
+    /// Calls to the state service in flight. Watches do not count.
     store_calls: Rc<Cell<usize>>,
-    most_store_calls: usize,
-    cloud: RateLimitedQueue<(CallId, CloudOp)>,
+    /// Limit of the calls in flight, so that they do not use up the sockets while the state service is slow
+    /// or does not respond. Leadership calls are exempt.
+    max_store_calls: usize,
+    cloud_queue: RateLimitedQueue<(CallId, CloudOp)>,
     store_addr: SocketAddr,
     cloud_addr: SocketAddr,
     peers: HashMap<String, SocketAddr>,
-    waiting: HashMap<RequestId, Waiting>,
-    next_req: u64,
-    back: mpsc::UnboundedSender<Input>,
+    pending_responses: HashMap<RequestId, PendingResponse>,
+    last_request_id: u64,
+    /// Returns the outcomes of calls to the event loop.
+    outcomes: mpsc::UnboundedSender<Input>,
     stats: Rc<RefCell<Stats>>,
-    others: usize,
-    waits: Arc<AtomicU64>,
-    /// Waits at the last tick, inputs since, and how much of its time the process is busy.
-    waited: u64,
-    inputs: u64,
-    busy: f64,
-    ticked: Instant,
+    /// Number of other nodes.
+    other_nodes: usize,
+    /// How often the process has parked to wait for events since it started.
+    parks: Arc<AtomicU64>,
+    /// Value of `parks` at the last tick.
+    parks_at_last_tick: u64,
+    inputs_since_tick: u64,
+    /// Moving average of the share of time for which the process is busy.
+    load: f64,
+    last_tick: Instant,
 }
 
+/// Returns the time of the steady clock and of the wall clock.
 fn now() -> Now {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Now { steady: Instant::now(), wall_ms: wall.as_millis() as u64 }
 }
 
-/// Serves until the process is killed.
-pub async fn run(settings: Settings, waits: Arc<AtomicU64>) -> Result<(), String> {
-    LocalSet::new().run_until(serve(settings, waits)).await
+/// Runs a controller until the process is killed. Returns an error if an address cannot be bound.
+pub async fn run(settings: Settings, parks: Arc<AtomicU64>) -> Result<(), String> {
+    LocalSet::new().run_until(run_event_loop(settings, parks)).await
 }
 
-async fn serve(settings: Settings, waits: Arc<AtomicU64>) -> Result<(), String> {
+async fn run_event_loop(settings: Settings, parks: Arc<AtomicU64>) -> Result<(), String> {
     let sockets = settings.sockets;
-    // A connection carries one request at a time, so that none is ever turned away for want of
-    // room here: when all workers turn to a new leader at once, each of them would come again.
+    // A connection carries one request at a time, so a channel with a slot per connection never rejects a
+    // request. When all workers turn to a new leader at once, each rejected one would retry.
     let (requests, mut request_inbox) = mpsc::channel::<CoreRequest>(sockets.inbound);
-    let (priority_requests, mut priority_inbox) = mpsc::channel::<CoreRequest>(FIRST);
-    // Outcomes of our own calls, whose number is bounded by the core and the budgets.
-    let (back, mut outcomes) = mpsc::unbounded_channel::<Input>();
+    let (priority_requests, mut priority_inbox) = mpsc::channel::<CoreRequest>(PRIORITY_QUEUE_SIZE);
+    // Outcomes of this node's own calls. The core and the rate-limited queues bound their number.
+    let (outcomes, mut outcome_inbox) = mpsc::unbounded_channel::<Input>();
     let open_connections = Rc::new(Cell::new(0));
     let start = now();
     let stats = Rc::new(RefCell::new(Stats::new(start.steady)));
@@ -121,114 +132,124 @@
     drop((requests, priority_requests));
     tracing::info!(label = settings.facts.label, public = %settings.public_addr, "started");
     let mut driver = Driver {
-        store: RateLimitedQueue::new(settings.store_rps, settings.store_write_rps, STORE_BURST, start.steady),
-        next_limits: settings.upcoming_store_rates,
-        limited: Rc::default(),
-        cloud: RateLimitedQueue::new(settings.cloud_rps, settings.cloud_rps, 1.0, start.steady),
+        store_queue: RateLimitedQueue::new(settings.store_rps, settings.store_write_rps, STORE_BURST_S, start.steady),
+        upcoming_store_rates: settings.upcoming_store_rates,
+        rate_limited: Rc::default(),
+        cloud_queue: RateLimitedQueue::new(settings.cloud_rps, settings.cloud_rps, 1.0, start.steady),
         node: Node::new(settings.facts, settings.policy, rand::random(), start),
         client,
         store_calls: Rc::new(Cell::new(0)),
-        most_store_calls: sockets.store_calls,
+        max_store_calls: sockets.store_calls,
         store_addr: settings.store_addr,
         cloud_addr: settings.cloud_addr,
         peers: settings.peers.into_iter().collect(),
-        waiting: HashMap::new(),
-        next_req: 0,
-        back,
+        pending_responses: HashMap::new(),
+        last_request_id: 0,
+        outcomes,
         stats,
-        others: settings.node_count.saturating_sub(1),
-        waits,
-        waited: 0,
-        inputs: 0,
-        busy: 0.0,
-        ticked: start.steady,
+        other_nodes: settings.node_count.saturating_sub(1),
+        parks,
+        parks_at_last_tick: 0,
+        inputs_since_tick: 0,
+        load: 0.0,
+        last_tick: start.steady,
     };
-    driver.cloud.set_share(CLOUD_SHARE);
-    let mut ticks = tokio::time::interval(TICK);
+    driver.cloud_queue.set_share(CLOUD_SHARE);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             biased;
-            Some(input) = outcomes.recv() => driver.input(input),
+            Some(input) = outcome_inbox.recv() => driver.handle_input(input),
             _ = ticks.tick() => driver.tick(),
             Some(request) = priority_inbox.recv() => driver.handle_request(request),
             Some(request) = request_inbox.recv() => driver.handle_request(request),
         }
-        driver.pump();
+        driver.send_queued_calls();
     }
 }
 
 impl Driver {
+    /// Updates the shares and the statistics, rejects calls that waited for too long, and passes the tick to the
+    /// core.
     fn tick(&mut self) {
         let now = Instant::now();
-        let late = now.duration_since(self.ticked).saturating_sub(TICK);
-        self.stats.borrow_mut().record_tick_delay(late);
-        self.ticked = now;
-        let share = match (self.node.token(), self.others) {
+        let tick_delay = now.duration_since(self.last_tick).saturating_sub(TICK_INTERVAL);
+        self.stats.borrow_mut().record_tick_delay(tick_delay);
+        self.last_tick = now;
+        let share = match (self.node.token(), self.other_nodes) {
             (_, 0) => 1.0,
-            (Some(_), _) => LEAD_SHARE,
-            (None, others) => (1.0 - LEAD_SHARE) / others as f64,
+            (Some(_), _) => LEADER_STORE_SHARE,
+            (None, other_nodes) => (1.0 - LEADER_STORE_SHARE) / other_nodes as f64,
         };
-        if self.limited.get()
-            && let Some((rps, write_rps)) = self.next_limits.take()
+        if self.rate_limited.get()
+            && let Some((rps, write_rps)) = self.upcoming_store_rates.take()
         {
-            tracing::info!(rps, write_rps, "the state service's coming limits hold from now on");
-            self.store.set_limits(rps, write_rps, STORE_BURST);
+            tracing::info!(rps, write_rps, "the upcoming rate limits of the state service apply from now on");
+            self.store_queue.set_limits(rps, write_rps, STORE_BURST_S);
         }
-        self.store.set_share(share);
-        for (call, _) in self.store.take_expired(now) {
-            self.input(Input::Store { call, outcome: Outcome::NotExecuted });
+        self.store_queue.set_share(share);
+        for (call, _) in self.store_queue.take_expired(now) {
+            self.handle_input(Input::Store { call, outcome: Outcome::NotExecuted });
         }
-        for (call, _) in self.cloud.take_expired(now) {
-            self.input(Input::Cloud { call, outcome: Outcome::NotExecuted });
+        for (call, _) in self.cloud_queue.take_expired(now) {
+            self.handle_input(Input::Cloud { call, outcome: Outcome::NotExecuted });
         }
-        let waits = self.waits.load(Ordering::Relaxed);
-        self.stats.borrow_mut().set_parks(waits);
-        self.gauge(waits, late);
+        let parks = self.parks.load(Ordering::Relaxed);
+        self.stats.borrow_mut().set_parks(parks);
+        self.report_load(parks, tick_delay);
         self.stats.borrow_mut().log_when_due(now, || self.node.pending_stops(now));
-        self.input(Input::Tick);
+        self.handle_input(Input::Tick);
     }
 
-    /// A process with time to spare waits after nearly every input; one that is behind finds
-    /// the next ones there.
-    fn gauge(&mut self, waits: u64, late: Duration) {
-        let inputs = std::mem::take(&mut self.inputs).max(1) as f64;
-        let share = 1.0 - ((waits - self.waited) as f64 / inputs).min(1.0);
-        self.waited = waits;
-        self.busy += (share - self.busy) * GAUGE;
-        let share = self.busy;
-        self.input(Input::ProcessorLoad { share, tick_delay: late });
+    /// Estimates the processor load and passes it to the core. A process with time to spare parks after nearly
+    /// every input; one that is behind finds the next inputs already queued.
+    fn report_load(&mut self, parks: u64, tick_delay: Duration) {
+        let inputs = std::mem::take(&mut self.inputs_since_tick).max(1) as f64;
+        let share = 1.0 - ((parks - self.parks_at_last_tick) as f64 / inputs).min(1.0);
+        self.parks_at_last_tick = parks;
+        self.load += (share - self.load) * LOAD_SMOOTHING;
+        let share = self.load;
+        self.handle_input(Input::ProcessorLoad { share, tick_delay });
     }
 
+    /// Passes a request to the core and keeps its response channel.
     fn handle_request(&mut self, request: CoreRequest) {
-        self.next_req += 1;
-        let request_id = RequestId(self.next_req);
-        let waiting =
-            Waiting { answer: request.response_sender, submission: request.is_submission, since: Instant::now() };
-        self.waiting.insert(request_id, waiting);
-        self.input((request.into_input)(request_id));
+        self.last_request_id += 1;
+        let request_id = RequestId(self.last_request_id);
+        let pending = PendingResponse {
+            response_sender: request.response_sender,
+            is_submission: request.is_submission,
+            received_at: Instant::now(),
+        };
+        self.pending_responses.insert(request_id, pending);
+        self.handle_input((request.into_input)(request_id));
     }
 
-    fn input(&mut self, input: Input) {
-        self.inputs += 1;
+    /// Passes an input to the core and carries out its outputs.
+    fn handle_input(&mut self, input: Input) {
+        self.inputs_since_tick += 1;
         for output in self.node.handle(now(), input) {
-            self.output(output);
+            self.execute(output);
         }
     }
 
-    fn output(&mut self, output: Output) {
+    /// Carries out an output: responds, queues a rate-limited call, or starts another call at once.
+    fn execute(&mut self, output: Output) {
         let now = Instant::now();
         match output {
             Output::Response { request_id, response } => {
-                if let Some(waiting) = self.waiting.remove(&request_id) {
-                    if waiting.submission {
-                        self.stats.borrow_mut().record_latency(Latency::Submission, now.duration_since(waiting.since));
+                if let Some(pending) = self.pending_responses.remove(&request_id) {
+                    if pending.is_submission {
+                        self.stats
+                            .borrow_mut()
+                            .record_latency(Latency::Submission, now.duration_since(pending.received_at));
                     }
                     if matches!(response.status, 429 | 503) {
                         self.stats.borrow_mut().count_shed();
                     }
-                    // The client may have gone.
-                    let _ = waiting.answer.send(response);
+                    // The client may have disconnected.
+                    let _ = pending.response_sender.send(response);
                 }
             }
             Output::Store { call, op, urgency } => {
@@ -236,72 +257,73 @@
                     StoreOp::Txn(txn) => txn.writes.len(),
                     _ => 0,
                 };
-                if let Some((call, _)) = self.store.push((call, op), urgency, writes, now) {
-                    let _ = self.back.send(Input::Store { call, outcome: Outcome::NotExecuted });
+                if let Some((call, _)) = self.store_queue.push((call, op), urgency, writes, now) {
+                    let _ = self.outcomes.send(Input::Store { call, outcome: Outcome::NotExecuted });
                 }
             }
             Output::Cloud { call, op } => {
-                if let Some((call, _)) = self.cloud.push((call, op), Urgency::Low, 0, now) {
-                    let _ = self.back.send(Input::Cloud { call, outcome: Outcome::NotExecuted });
+                if let Some((call, _)) = self.cloud_queue.push((call, op), Urgency::Low, 0, now) {
+                    let _ = self.outcomes.send(Input::Cloud { call, outcome: Outcome::NotExecuted });
                 }
             }
             Output::Order { call, addr, orders, probe } => {
-                let (client, back, stats) = (self.client.clone(), self.back.clone(), self.stats.clone());
+                let (client, outcomes, stats) = (self.client.clone(), self.outcomes.clone(), self.stats.clone());
                 tokio::task::spawn_local(async move {
                     let outcome = outbound::send_orders(&client, &addr, &orders, probe).await;
                     stats.borrow_mut().record_latency(Latency::Order, now.elapsed());
-                    let _ = back.send(Input::OrderResponse { call, outcome });
+                    let _ = outcomes.send(Input::OrderResponse { call, outcome });
                 });
             }
             Output::Peer { label, request } => {
                 let Some(addr) = self.peers.get(&label).copied() else {
                     return;
                 };
-                let (client, back) = (self.client.clone(), self.back.clone());
+                let (client, outcomes) = (self.client.clone(), self.outcomes.clone());
                 tokio::task::spawn_local(async move {
                     let outcome = outbound::call_peer(&client, addr, &request).await;
-                    let _ = back.send(Input::PeerResponse { label, outcome });
+                    let _ = outcomes.send(Input::PeerResponse { label, outcome });
                 });
             }
             Output::Relay { call, label, relay } => {
                 let Some(addr) = self.peers.get(&label).copied() else {
                     return;
                 };
-                let (client, back) = (self.client.clone(), self.back.clone());
+                let (client, outcomes) = (self.client.clone(), self.outcomes.clone());
                 tokio::task::spawn_local(async move {
                     let outcome = outbound::relay_reports(&client, addr, &relay).await;
-                    let _ = back.send(Input::RelayResponse { call, outcome });
+                    let _ = outcomes.send(Input::RelayResponse { call, outcome });
                 });
             }
         }
     }
 
-    /// Sends what the budgets allow.
-    fn pump(&mut self) {
+    /// Sends the queued calls that the rate limits allow now.
+    fn send_queued_calls(&mut self) {
         let now = Instant::now();
-        while let Some((call, op)) = self.store.pop(now, self.store_calls.get() >= self.most_store_calls) {
-            let (client, back, stats, addr) =
-                (self.client.clone(), self.back.clone(), self.stats.clone(), self.store_addr);
-            let (calls, limited) = (self.store_calls.clone(), self.limited.clone());
-            let watch = matches!(op, StoreOp::Watch { .. });
-            calls.set(calls.get() + usize::from(!watch));
+        while let Some((call, op)) = self.store_queue.pop(now, self.store_calls.get() >= self.max_store_calls) {
+            let (client, outcomes, stats, addr) =
+                (self.client.clone(), self.outcomes.clone(), self.stats.clone(), self.store_addr);
+            let (store_calls, rate_limited) = (self.store_calls.clone(), self.rate_limited.clone());
+            let is_watch = matches!(op, StoreOp::Watch { .. });
+            store_calls.set(store_calls.get() + usize::from(!is_watch));
             tokio::task::spawn_local(async move {
                 let outcome = outbound::call_store(&client, addr, op).await;
-                limited.set(limited.get() || matches!(outcome, Outcome::Responded(StoreResponse::RateLimited)));
-                if !watch {
-                    calls.set(calls.get() - 1);
+                rate_limited
+                    .set(rate_limited.get() || matches!(outcome, Outcome::Responded(StoreResponse::RateLimited)));
+                if !is_watch {
+                    store_calls.set(store_calls.get() - 1);
                     stats.borrow_mut().record_latency(Latency::Store, now.elapsed());
                 }
-                let _ = back.send(Input::Store { call, outcome });
+                let _ = outcomes.send(Input::Store { call, outcome });
             });
         }
-        while let Some((call, op)) = self.cloud.pop(now, false) {
-            let (client, back, stats, addr) =
-                (self.client.clone(), self.back.clone(), self.stats.clone(), self.cloud_addr);
+        while let Some((call, op)) = self.cloud_queue.pop(now, false) {
+            let (client, outcomes, stats, addr) =
+                (self.client.clone(), self.outcomes.clone(), self.stats.clone(), self.cloud_addr);
             tokio::task::spawn_local(async move {
                 let outcome = outbound::call_cloud(&client, addr, op).await;
                 stats.borrow_mut().record_latency(Latency::Cloud, now.elapsed());
-                let _ = back.send(Input::Cloud { call, outcome });
+                let _ = outcomes.send(Input::Cloud { call, outcome });
             });
         }
     }
--- a/crates/rushyoke/src/server.rs
+++ b/crates/rushyoke/src/server.rs
@@ -1,5 +1,5 @@
-//! The servers: users, workers and health checks on one address, the other controllers
-//! on another. Every request is answered at once or handed to the core.
+//! HTTP servers: one address for users, workers and health checks, another for the other controllers. Each request is
+//! rejected at once or passed to the core.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -26,64 +26,74 @@
 use crate::pacing::{PacedStream, Pacer};
 use crate::stats::{Counter, Stats};
 
-/// Largest body that is taken.
-const MOST_BODY: usize = 64 * 1024;
-/// Largest head of a request, and what a connection may keep unread.
-const MOST_HEAD: usize = 8 * 1024;
-/// A connection on which nothing comes for so long is closed.
-const IDLE: Duration = Duration::from_secs(40);
-/// A body must be there after this time.
-const SLOWEST_BODY: Duration = Duration::from_secs(10);
+/// Largest request body that is accepted.
+const MAX_BODY_BYTES: usize = 64 * 1024;
+/// Largest head of a request, and size of the read buffer of a connection.
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// A connection is closed when no request arrives for this time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(40);
+/// A request body must be complete within this time.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A request on its way to the core.
+/// Request that is passed to the core.
 pub struct CoreRequest {
+    /// Builds the input, given the id under which the core responds.
     pub into_input: Box<dyn FnOnce(RequestId) -> Input>,
     pub response_sender: oneshot::Sender<HttpResponse>,
     pub is_submission: bool,
 }
 
+/// Whose requests an address serves.
 #[derive(Clone, Copy)]
 pub enum ListenerKind {
+    /// Users, workers and health checks.
     Public,
+    /// The other controllers.
     Peers,
 }
 
+/// HTTP server of one address. The counters are shared by the servers of both addresses.
 #[derive(Clone)]
 pub struct Server {
     pub kind: ListenerKind,
+    /// Requests of users and workers, for the core.
     pub requests: mpsc::Sender<CoreRequest>,
-    /// For what must not wait behind a crowd of reports: health checks and controllers.
+    /// Health checks and requests of controllers, which must not wait behind many reports.
     pub priority_requests: mpsc::Sender<CoreRequest>,
-    /// Connections open now and at the most, over both sides.
+    /// Number of open connections, over both addresses.
     pub open_connections: Rc<Cell<usize>>,
+    /// Limit of the open connections; further ones are closed at once.
     pub max_connections: usize,
-    /// Memory taken by bodies that are being read, over both sides, and at the most.
+    /// Memory reserved for request bodies that are being read, over both addresses.
     pub body_bytes: Rc<Cell<usize>>,
+    /// Limit of that memory; further requests are rejected.
     pub max_body_bytes: usize,
-    /// Requests of users and workers are served in slices.
+    /// Paces the reads from users and workers.
     pub pacer: Pacer,
-    /// Our own connections, which give way.
+    /// Client for this node's own calls. It closes idle connections when inbound ones need the sockets.
     pub client: HttpClient,
     pub stats: Rc<RefCell<Stats>>,
 }
 
 impl Server {
+    /// Listens on an address.
     pub async fn bind(addr: SocketAddr) -> Result<TcpListener, String> {
         TcpListener::bind(addr).await.map_err(|e| format!("{addr}: {e}"))
     }
 
+    /// Accepts connections and serves their requests.
     pub async fn run(self, listener: TcpListener) {
         loop {
             if let ListenerKind::Public = self.kind {
                 self.pacer.acquire().await;
             }
             let Ok((stream, _)) = listener.accept().await else {
-                // Out of sockets: those in use come free.
+                // Out of sockets: waits until some are closed.
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 continue;
             };
             if self.open_connections.get() >= self.max_connections {
-                // Closed at once, so that the load balancer tries another node.
+                // Closes the connection at once, so that the load balancer tries another node.
                 drop(stream);
                 continue;
             }
@@ -93,10 +103,10 @@
             self.client.trim_idle();
             let server = self.clone();
             tokio::task::spawn_local(async move {
-                let service = service_fn(|request| server.serve(request));
+                let service = service_fn(|request| server.handle(request));
                 let mut http = http1::Builder::new();
-                http.timer(TokioTimer::new()).header_read_timeout(IDLE).max_buf_size(MOST_HEAD);
-                // Connections end as clients please.
+                http.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT).max_buf_size(MAX_HEAD_BYTES);
+                // Errors of a connection are ignored, since clients may disconnect at any time.
                 let _ = match server.kind {
                     ListenerKind::Public => {
                         let paced = PacedStream { stream, pacer: server.pacer.clone() };
@@ -109,7 +119,8 @@
         }
     }
 
-    async fn serve(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
+    /// Handles one request.
+    async fn handle(&self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
         let method = request.method().clone();
         let path = request.uri().path().to_owned();
         let route = match self.kind {
@@ -119,46 +130,49 @@
             ListenerKind::Peers => None,
         };
         let Some((allowed, route)) = route else {
-            return Ok(respond(HttpResponse::error(404, "no such path")));
+            return Ok(encode_response(HttpResponse::error(404, "no such path")));
         };
         if method != allowed {
-            let mut response = respond(HttpResponse::error(405, "method not allowed"));
-            response.headers_mut().insert("allow", allowed.as_str().parse().expect("a method's name"));
+            let mut response = encode_response(HttpResponse::error(405, "method not allowed"));
+            response
+                .headers_mut()
+                .insert("allow", allowed.as_str().parse().expect("a method name is a valid header value"));
             return Ok(response);
         }
-        match self.body(request.into_body()).await {
-            Ok(body) => Ok(respond(self.route(route, &body).await)),
-            Err(answer) => {
-                let mut response = respond(answer);
-                response.headers_mut().insert("connection", "close".parse().expect("a fixed value"));
+        match self.read_body(request.into_body()).await {
+            Ok(body) => Ok(encode_response(self.route(route, &body).await)),
+            Err(rejection) => {
+                let mut response = encode_response(rejection);
+                response.headers_mut().insert("connection", "close".parse().expect("a constant header value is valid"));
                 Ok(response)
             }
         }
     }
 
-    /// Reads a body, of which no more is taken than it announced, and all together no more than
-    /// there is memory for.
-    async fn body<B: Body<Data = Bytes>>(&self, body: B) -> Result<Bytes, HttpResponse>
+    /// Reads a request body. While it is read, memory is reserved for its announced size or, if none is announced, for
+    /// the largest body. Returns a rejection if too little memory is left, or if the body is too large or too slow.
+    async fn read_body<B: Body<Data = Bytes>>(&self, body: B) -> Result<Bytes, HttpResponse>
     where
         B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
     {
-        let size = body.size_hint().upper().map_or(MOST_BODY, |size| size.min(MOST_BODY as u64) as usize);
+        let size = body.size_hint().upper().map_or(MAX_BODY_BYTES, |size| size.min(MAX_BODY_BYTES as u64) as usize);
         if self.body_bytes.get() + size > self.max_body_bytes {
             self.stats.borrow_mut().count_shed();
             return Err(HttpResponse::later(503, "too many requests at once"));
         }
         self.body_bytes.set(self.body_bytes.get() + size);
-        let _given_back = GivenBack { bodies: self.body_bytes.clone(), size };
-        match timeout(SLOWEST_BODY, Limited::new(body, MOST_BODY).collect()).await {
+        let _reservation = BodyReservation { body_bytes: self.body_bytes.clone(), size };
+        match timeout(BODY_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect()).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => {
                 Err(HttpResponse::error(413, "the body is larger than 64 KiB"))
             }
             Ok(Err(_)) => Err(HttpResponse::error(400, "the body could not be read")),
-            Err(_) => Err(HttpResponse::error(408, "the body came too slowly")),
+            Err(_) => Err(HttpResponse::error(408, "the body arrived too slowly")),
         }
     }
 
+    /// Parses a request, passes it to the core and waits for the response.
     async fn route(&self, route: Route, body: &Bytes) -> HttpResponse {
         let is_submission = matches!(route, Route::Submit);
         self.stats.borrow_mut().increment(match route {
@@ -166,7 +180,7 @@
             Route::Ready | Route::Peer | Route::Relay => Counter::PeerRequests,
             Route::Submit | Route::Status(_) | Route::Cancel(_) => Counter::UserRequests,
         });
-        let core = if matches!(route, Route::Ready | Route::Peer | Route::Relay) {
+        let queue = if matches!(route, Route::Ready | Route::Peer | Route::Relay) {
             &self.priority_requests
         } else {
             &self.requests
@@ -174,7 +188,7 @@
         let into_input: Box<dyn FnOnce(RequestId) -> Input> = match route {
             Route::Submit => match JobSpec::parse(body) {
                 Ok(spec) => Box::new(move |request_id| Input::Submit { request_id, spec: Box::new(spec) }),
-                Err(why) => return HttpResponse::error(400, &why),
+                Err(reason) => return HttpResponse::error(400, &reason),
             },
             Route::Status(id) | Route::Cancel(id) if !is_job_id(&id) => {
                 return HttpResponse::error(404, "no such job");
@@ -205,25 +219,26 @@
             },
         };
         let (response_sender, response) = oneshot::channel();
-        if core.try_send(CoreRequest { into_input, response_sender, is_submission }).is_err() {
+        if queue.try_send(CoreRequest { into_input, response_sender, is_submission }).is_err() {
             return HttpResponse::later(503, "too many requests at once");
         }
-        response.await.unwrap_or_else(|_| HttpResponse::later(503, "no answer"))
+        response.await.unwrap_or_else(|_| HttpResponse::later(503, "no response"))
     }
 }
 
-/// Gives a body's memory back, also when its connection ends before it is read.
-struct GivenBack {
-    bodies: Rc<Cell<usize>>,
+/// Memory reserved for a request body. It is released on drop, also when the connection ends before the body is read.
+struct BodyReservation {
+    body_bytes: Rc<Cell<usize>>,
     size: usize,
 }
 
-impl Drop for GivenBack {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
-        self.bodies.set(self.bodies.get() - self.size);
+        self.body_bytes.set(self.body_bytes.get() - self.size);
     }
 }
 
+/// Kind of a request, with the id of its job.
 enum Route {
     Submit,
     Status(String),
@@ -234,6 +249,7 @@
     Relay,
 }
 
+/// Returns the method and the route of a path on the public address.
 fn public_route(path: &str) -> Option<(Method, Route)> {
     match path {
         "/ready" => return Some((Method::GET, Route::Ready)),
@@ -249,12 +265,13 @@
     }
 }
 
-fn respond(answer: HttpResponse) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::new(Bytes::from(answer.body)));
-    *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+/// Converts a response of the core into an HTTP response.
+fn encode_response(source: HttpResponse) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(Bytes::from(source.body)));
+    *response.status_mut() = StatusCode::from_u16(source.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
-    headers.insert("content-type", "application/json".parse().expect("a fixed value"));
-    if let Some(seconds) = answer.retry_after_s {
+    headers.insert("content-type", "application/json".parse().expect("a constant header value is valid"));
+    if let Some(seconds) = source.retry_after_s {
         headers.insert("retry-after", seconds.into());
     }
     response
--- a/crates/rushyoke/src/server/tests.rs
+++ b/crates/rushyoke/src/server/tests.rs
@@ -20,42 +20,44 @@
     }
 }
 
-/// Runs on a clock that stands still and jumps to the next timer.
-fn at_once<T>(story: impl Future<Output = T>) -> T {
+/// Runs a scenario on a paused clock, which advances to the next timer when all tasks wait.
+fn run_with_paused_clock<T>(scenario: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
-    runtime.expect("a runtime").block_on(story)
+    runtime.expect("the runtime starts").block_on(scenario)
 }
 
-fn pieces(sizes: Vec<usize>) -> StreamBody<impl futures_util::Stream<Item = Result<Frame<Bytes>, Infallible>>> {
+fn body_of_chunks(sizes: Vec<usize>) -> StreamBody<impl futures_util::Stream<Item = Result<Frame<Bytes>, Infallible>>> {
     let frames = sizes.into_iter().map(|size| Ok(Frame::data(Bytes::from(vec![b'x'; size]))));
     StreamBody::new(futures_util::stream::iter(frames))
 }
 
 #[test]
-fn a_body_takes_no_more_than_its_bound() {
-    at_once(async {
+fn a_request_body_is_limited_in_size_and_releases_its_memory() {
+    run_with_paused_clock(async {
         let server = server(200_000);
-        assert_eq!(server.body(pieces(vec![30_000, 30_000])).await.expect("small enough").len(), 60_000);
-        assert_eq!(server.body(pieces(vec![30_000; 9])).await.expect_err("too large").status, 413);
-        assert_eq!(server.body_bytes.get(), 0, "its memory was given back");
+        assert_eq!(server.read_body(body_of_chunks(vec![30_000, 30_000])).await.expect("small enough").len(), 60_000);
+        assert_eq!(server.read_body(body_of_chunks(vec![30_000; 9])).await.expect_err("too large").status, 413);
+        assert_eq!(server.body_bytes.get(), 0, "the memory of the bodies was released");
     });
 }
 
 #[test]
-fn slow_senders_are_let_go_and_a_crowd_of_them_is_turned_away_at_once() {
-    at_once(async {
+fn slow_senders_time_out_and_requests_beyond_the_memory_limit_are_rejected_at_once() {
+    run_with_paused_clock(async {
         let server = server(200_000);
-        let never = || StreamBody::new(futures_util::stream::pending::<Result<Frame<Bytes>, Infallible>>());
-        let three = async { tokio::join!(server.body(never()), server.body(never()), server.body(never())) };
+        let stalled = || StreamBody::new(futures_util::stream::pending::<Result<Frame<Bytes>, Infallible>>());
+        let three = async {
+            tokio::join!(server.read_body(stalled()), server.read_body(stalled()), server.read_body(stalled()))
+        };
         let fourth = async {
             tokio::time::sleep(Duration::from_secs(1)).await;
-            let refused = server.body(pieces(vec![10])).await.expect_err("no room");
-            assert_eq!((refused.status, refused.retry_after_s), (503, Some(1)));
+            let rejected = server.read_body(body_of_chunks(vec![10])).await.expect_err("no memory left");
+            assert_eq!((rejected.status, rejected.retry_after_s), (503, Some(1)));
         };
         let (three, ()) = tokio::join!(three, fourth);
         for slow in [three.0, three.1, three.2] {
             assert_eq!(slow.expect_err("too slow").status, 408);
         }
-        assert_eq!(server.body(pieces(vec![10])).await.expect("room again").len(), 10);
+        assert_eq!(server.read_body(body_of_chunks(vec![10])).await.expect("memory is free again").len(), 10);
     });
 }
