--- a/crates/rushyoke/src/settings/balance.rs
+++ b/crates/rushyoke/src/settings/balance.rs
@@ -1,4 +1,4 @@
-//! The section `balance:` of the operators' file: load spreading.
+//! Section `balance:` of the operators' file: rebalancing.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use rushyoke_core::BalanceSettings;
 use serde::Deserialize;
 
-/// The most seconds that any setting here is read as, so that all fit a duration.
-const MOST_S: f64 = 1e9;
+/// Largest accepted number of seconds; larger ones might not fit into a `Duration`.
+const MAX_SECONDS: f64 = 1e9;
 
-/// What operators set; what is left out keeps its default. Off unless `enabled` is true.
+/// The section as it is in the file; keys left out keep their defaults. Off unless `enabled` is true.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(super) struct BalanceSection {
@@ -31,7 +31,7 @@
 }
 
 impl BalanceSection {
-    /// The checked settings, if load spreading is on. They are checked also while it is off.
+    /// Checks the settings, also while rebalancing is off. Returns them if it is on.
     pub(super) fn into_settings(self) -> Result<Option<BalanceSettings>, String> {
         let mut settings = BalanceSettings::default();
         let shares = [
@@ -57,27 +57,29 @@
         for (name, value, target) in times {
             *target = value.map_or(Ok(*target), |value| seconds(name, value))?;
         }
-        settings.protected_classes = protected(self.protected)?;
+        settings.protected_classes = protected_classes(self.protected)?;
         settings.check().map_err(|error| error.to_string())?;
         Ok(self.enabled.then_some(settings))
     }
 }
 
+/// Converts a setting in seconds into a duration.
 fn seconds(name: &str, value: f64) -> Result<Duration, String> {
-    match (0.0..=MOST_S).contains(&value) {
+    match (0.0..=MAX_SECONDS).contains(&value) {
         true => Ok(Duration::from_secs_f64(value)),
-        false => Err(format!("balance.{name}: must be a number of seconds from 0 on")),
+        false => Err(format!("balance.{name}: must be a number of seconds, 0 or more")),
     }
 }
 
-fn protected(classes: Vec<String>) -> Result<BTreeSet<String>, String> {
+/// Checks the classes of jobs that are never moved.
+fn protected_classes(classes: Vec<String>) -> Result<BTreeSet<String>, String> {
     let mut protected = BTreeSet::new();
     for class in classes {
         if class.trim().is_empty() {
             return Err("balance.protected: names an empty class".into());
         }
         if !protected.insert(class.clone()) {
-            return Err(format!("balance.protected: {class} stands twice"));
+            return Err(format!("balance.protected: class {class} is listed twice"));
         }
     }
     Ok(protected)
--- a/crates/rushyoke/src/settings/failover.rs
+++ b/crates/rushyoke/src/settings/failover.rs
@@ -1,4 +1,4 @@
-//! The section `failover:` of the operators' file: zone failover.
+//! Section `failover:` of the operators' file: zone failover.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use rushyoke_core::{Facts, FailoverSettings, FailoverSettingsError, Tier};
 use serde::Deserialize;
 
-/// The most seconds that any setting here is read as, so that all fit a duration.
-const MOST_S: f64 = 1e9;
+/// Largest accepted number of seconds; larger ones might not fit into a `Duration`.
+const MAX_SECONDS: f64 = 1e9;
 
-/// What operators set; what is left out keeps its default. Off unless `enabled` is true.
+/// The section as it is in the file; keys left out keep their defaults. Off unless `enabled` is true.
 #[derive(Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub(super) struct FailoverSection {
@@ -33,6 +33,7 @@
     admitted: Vec<String>,
 }
 
+/// A tier of classes as it is in the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct TierEntry {
@@ -41,15 +42,16 @@
 }
 
 impl FailoverSection {
-    /// The checked settings, if failover is on. They are checked also while it is off.
+    /// Checks the settings, also while failover is off. Returns them if it is on.
     pub(super) fn into_settings(self) -> Result<Option<FailoverSettings>, String> {
         let enabled = self.enabled;
-        let settings = self.read()?;
+        let settings = self.convert()?;
         settings.check().map_err(|error| error.to_string())?;
         Ok(enabled.then_some(settings))
     }
 
-    fn read(self) -> Result<FailoverSettings, String> {
+    /// Converts the section into settings; only the times and the lists of names are checked.
+    fn convert(self) -> Result<FailoverSettings, String> {
         let mut settings = FailoverSettings::default();
         settings.min_machines = self.least_machines.unwrap_or(settings.min_machines);
         let shares = [
@@ -75,8 +77,8 @@
         }
         settings.tiers = self.tiers.into_iter().map(|TierEntry { name, classes }| Tier { name, classes }).collect();
         settings.max_reruns = self.max_reruns;
-        let names = |setting, what, listed: &[String]| {
-            FailoverSettings::names(setting, what, listed).map_err(|error| error.to_string())
+        let names = |setting, kind, listed: &[String]| {
+            FailoverSettings::names(setting, kind, listed).map_err(|error| error.to_string())
         };
         settings.tiers_avoiding_probation = names("careful_tiers", "tier", &self.careful_tiers)?;
         settings.excluded_zones = names("held_out", "zone", &self.held_out)?;
@@ -85,16 +87,17 @@
     }
 }
 
-/// Checks the names of classes and zones against those that the platform tells.
+/// Checks the names of classes and zones against those in the platform's file.
 pub(super) fn check_names(settings: &FailoverSettings, facts: &Facts) -> Result<(), FailoverSettingsError> {
     let classes: BTreeSet<String> = facts.objectives.iter().filter_map(|objective| objective.class.clone()).collect();
     let zones: BTreeSet<String> = facts.controller_zones.values().cloned().collect();
     settings.check_names(&classes, &zones)
 }
 
+/// Converts a setting in seconds into a duration.
 fn seconds(name: &str, value: f64) -> Result<Duration, String> {
-    match (0.0..=MOST_S).contains(&value) {
+    match (0.0..=MAX_SECONDS).contains(&value) {
         true => Ok(Duration::from_secs_f64(value)),
-        false => Err(format!("failover.{name}: must be a number of seconds from 0 on")),
+        false => Err(format!("failover.{name}: must be a number of seconds, 0 or more")),
     }
 }
--- a/crates/rushyoke/tests/check.rs
+++ b/crates/rushyoke/tests/check.rs
@@ -1,8 +1,10 @@
-//! What `check`, and the start, say of the limits of the state service.
+//! Tests of the exit code and the error output of `check`, and of starting a controller, with valid and invalid
+//! settings.
 
 use std::path::PathBuf;
 use std::process::Command;
 
+/// Valid platform settings, to which a test may add `[facts.state.next]`.
 const SETTINGS: &str = r#"
 label = "node-0"
 public_addr = "127.0.0.1:8080"
@@ -26,28 +28,29 @@
 txn_ops = 16
 "#;
 
-/// The exit code, and what is printed on standard error.
+/// Runs `check` with the platform settings and a section after them. Returns the exit code and standard error.
 fn check(name: &str, next: &str) -> (Option<i32>, String) {
     run(name, next, &["check"])
 }
 
+/// Runs the program with the platform settings and a section after them. Returns the exit code and standard error.
 fn run(name: &str, next: &str, arguments: &[&str]) -> (Option<i32>, String) {
     let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.toml"));
-    std::fs::write(&file, format!("{SETTINGS}{next}")).expect("the folder for tests can be written to");
-    let out = Command::new(env!("CARGO_BIN_EXE_rushyoke")).arg("--config").arg(&file).args(arguments).output();
-    let out = out.expect("the program starts");
-    (out.status.code(), String::from_utf8_lossy(&out.stderr).into_owned())
+    std::fs::write(&file, format!("{SETTINGS}{next}")).expect("the directory for tests is writable");
+    let output = Command::new(env!("CARGO_BIN_EXE_rushyoke")).arg("--config").arg(&file).args(arguments).output();
+    let output = output.expect("the program starts");
+    (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
 #[test]
-fn limits_to_come_are_checked_and_may_be_left_out() {
+fn announced_store_limits_are_valid_and_optional() {
     assert_eq!(check("none", "").0, Some(0));
     assert_eq!(check("some", "[facts.state.next]\nwrite_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 5\n").0, Some(0));
     assert_eq!(check("empty", "[facts.state.next]\n").0, Some(0));
 }
 
 #[test]
-fn nonsense_in_the_limits_to_come_is_one_clear_line() {
+fn an_invalid_announced_store_limit_is_reported_on_one_line() {
     for (name, line) in [
         ("rps", "rps = -1.0"),
         ("write_rps", "write_rps = 0.0"),
@@ -56,39 +59,40 @@
         ("value_kb", "value_kb = nan"),
     ] {
         for arguments in [&["check"][..], &[]] {
-            let (code, said) = run(&format!("bad-{name}"), &format!("[facts.state.next]\n{line}\n"), arguments);
-            assert_eq!(code, Some(2), "{line}: {said}");
-            assert_eq!(said.trim().lines().count(), 1, "{said}");
-            assert!(said.contains(&format!("facts.state.next.{name}")), "{said}");
+            let (code, stderr) = run(&format!("bad-{name}"), &format!("[facts.state.next]\n{line}\n"), arguments);
+            assert_eq!(code, Some(2), "{line}: {stderr}");
+            assert_eq!(stderr.trim().lines().count(), 1, "{stderr}");
+            assert!(stderr.contains(&format!("facts.state.next.{name}")), "{stderr}");
         }
     }
-    let (code, said) = check("bad-type", "[facts.state.next]\nvalue_kb = \"two\"\n");
-    assert_eq!((code, said.contains("value_kb")), (Some(2), true), "{said}");
+    let (code, stderr) = check("bad-type", "[facts.state.next]\nvalue_kb = \"two\"\n");
+    assert_eq!((code, stderr.contains("value_kb")), (Some(2), true), "{stderr}");
 }
 
-/// The exit code, and what is printed on standard error, with an operators' file.
-fn with_policy(name: &str, policy: &str, arguments: &[&str]) -> (Option<i32>, String) {
-    run_with(name, SETTINGS, policy, arguments)
+/// Runs the program with the platform settings and an operators' file. Returns the exit code and standard error.
+fn run_with_policy(name: &str, policy: &str, arguments: &[&str]) -> (Option<i32>, String) {
+    run_with_files(name, SETTINGS, policy, arguments)
 }
 
-/// What `check` says of both files.
-fn with_files(name: &str, platform: &str, policy: &str) -> (Option<i32>, String) {
-    run_with(name, platform, policy, &["check"])
+/// Runs `check` with both files. Returns the exit code and standard error.
+fn check_files(name: &str, platform_settings: &str, policy: &str) -> (Option<i32>, String) {
+    run_with_files(name, platform_settings, policy, &["check"])
 }
 
-fn run_with(name: &str, platform: &str, policy: &str, arguments: &[&str]) -> (Option<i32>, String) {
-    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
-    let (config, file) = (folder.join(format!("{name}.toml")), folder.join(format!("{name}.yaml")));
-    std::fs::write(&config, platform).expect("the folder for tests can be written to");
-    std::fs::write(&file, policy).expect("the folder for tests can be written to");
+/// Runs the program with both files. Returns the exit code and standard error.
+fn run_with_files(name: &str, platform_settings: &str, policy: &str, arguments: &[&str]) -> (Option<i32>, String) {
+    let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
+    let (config, file) = (directory.join(format!("{name}.toml")), directory.join(format!("{name}.yaml")));
+    std::fs::write(&config, platform_settings).expect("the directory for tests is writable");
+    std::fs::write(&file, policy).expect("the directory for tests is writable");
     let mut command = Command::new(env!("CARGO_BIN_EXE_rushyoke"));
-    let out = command.arg("--config").arg(&config).arg("--policy").arg(&file).args(arguments).output();
-    let out = out.expect("the program starts");
-    (out.status.code(), String::from_utf8_lossy(&out.stderr).into_owned())
+    let output = command.arg("--config").arg(&config).arg("--policy").arg(&file).args(arguments).output();
+    let output = output.expect("the program starts");
+    (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
 #[test]
-fn load_spreading_is_switched_on_by_its_file_and_may_be_left_out() {
+fn rebalancing_settings_are_valid_and_optional() {
     let deployed = include_str!("../../../deploy/balance.yaml");
     for (name, policy) in [
         ("balance-deployed", deployed),
@@ -96,13 +100,13 @@
         ("balance-off", "balance:\n  enabled: false\n"),
         ("balance-some", "balance:\n  enabled: true\n  protected: [sheets, settlement]\n"),
     ] {
-        let (code, said) = with_policy(name, policy, &["check"]);
-        assert_eq!(code, Some(0), "{name}: {said}");
+        let (code, stderr) = run_with_policy(name, policy, &["check"]);
+        assert_eq!(code, Some(0), "{name}: {stderr}");
     }
 }
 
 #[test]
-fn nonsense_in_load_spreading_is_one_clear_line() {
+fn an_invalid_rebalancing_setting_is_reported_on_one_line() {
     for (field, line) in [
         ("balance.crowding_share", "crowding_share: -1"),
         ("balance.gain_ratio", "gain_ratio: 0.1"),
@@ -123,30 +127,30 @@
                     continue;
                 }
                 let policy = format!("balance:\n{enabled}  {line}\n");
-                let (code, said) = with_policy("balance-bad", &policy, arguments);
-                assert_eq!(code, Some(2), "{line}: {said}");
-                assert_eq!(said.trim().lines().count(), 1, "{said}");
-                assert!(said.contains(field), "{line}: {said}");
+                let (code, stderr) = run_with_policy("balance-bad", &policy, arguments);
+                assert_eq!(code, Some(2), "{line}: {stderr}");
+                assert_eq!(stderr.trim().lines().count(), 1, "{stderr}");
+                assert!(stderr.contains(field), "{line}: {stderr}");
             }
         }
     }
 }
 
 #[test]
-fn failover_is_switched_on_by_its_file_and_may_be_left_out() {
+fn failover_settings_are_valid_and_optional() {
     let deployed = include_str!("../../../deploy/failover.yaml");
     let named = "failover:\n  enabled: true\n  tiers: [{ name: urgent, classes: [sheets] }]\n  \
                  careful_tiers: [urgent]\n  max_reruns: { settlement: 1 }\n  held_out: [south]\n";
     for (name, policy) in
         [("failover-deployed", deployed), ("failover-off", "failover:\n  enabled: false\n"), ("failover-named", named)]
     {
-        let (code, said) = with_policy(name, policy, &["check"]);
-        assert_eq!(code, Some(0), "{name}: {said}");
+        let (code, stderr) = run_with_policy(name, policy, &["check"]);
+        assert_eq!(code, Some(0), "{name}: {stderr}");
     }
 }
 
 #[test]
-fn nonsense_in_failover_is_one_clear_line() {
+fn an_invalid_failover_setting_is_reported_on_one_line() {
     for (field, line) in [
         ("failover.suspect_share", "suspect_share: 0"),
         ("failover.lost_share", "lost_share: .nan"),
@@ -171,17 +175,17 @@
         for arguments in [&["check"][..], &[]] {
             let policy =
                 if line.starts_with('{') { format!("failover: {line}\n") } else { format!("failover:\n  {line}\n") };
-            let (code, said) = with_policy("failover-bad", &policy, arguments);
-            assert_eq!(code, Some(2), "{line}: {said}");
-            assert_eq!(said.trim().lines().count(), 1, "{said}");
-            assert!(said.contains(field), "{line}: {said}");
+            let (code, stderr) = run_with_policy("failover-bad", &policy, arguments);
+            assert_eq!(code, Some(2), "{line}: {stderr}");
+            assert_eq!(stderr.trim().lines().count(), 1, "{stderr}");
+            assert!(stderr.contains(field), "{line}: {stderr}");
         }
     }
 }
 
 #[test]
-fn names_in_failover_that_the_platform_does_not_know_are_one_clear_line() {
-    let platform = format!(
+fn an_unknown_class_or_zone_in_failover_is_reported_on_one_line() {
+    let platform_settings = format!(
         "location = \"north\"\n{SETTINGS}[[facts.objectives]]\nkind = \"finished\"\nclass = \"sheets\"\nwithin_s = 9.0\n"
     );
     for (field, line) in [
@@ -190,10 +194,11 @@
         ("failover.held_out: unknown zone south", "held_out: [south]"),
         ("failover.admitted: unknown zone south", "admitted: [south]"),
     ] {
-        let (code, said) = with_files("failover-names", &platform, &format!("failover:\n  enabled: true\n  {line}\n"));
-        assert_eq!((code, said.trim().lines().count()), (Some(2), 1), "{said}");
-        assert!(said.contains(field), "{line}: {said}");
+        let (code, stderr) =
+            check_files("failover-names", &platform_settings, &format!("failover:\n  enabled: true\n  {line}\n"));
+        assert_eq!((code, stderr.trim().lines().count()), (Some(2), 1), "{stderr}");
+        assert!(stderr.contains(field), "{line}: {stderr}");
     }
     let known = "failover:\n  enabled: true\n  tiers: [{ name: one, classes: [sheets] }]\n  held_out: [north]\n";
-    assert_eq!(with_files("failover-known", &platform, known).0, Some(0));
+    assert_eq!(check_files("failover-known", &platform_settings, known).0, Some(0));
 }
