--- a/crates/rushyoke/src/main.rs
+++ b/crates/rushyoke/src/main.rs
@@ -1,4 +1,4 @@
-//! rushyoke: a cluster scheduler after eSplash.
+//! rushyoke: a cluster scheduler based on eSplash.
 
 mod client;
 mod driver;
@@ -17,34 +17,36 @@
 
 use clap::{Parser, Subcommand};
 
-/// Exit code for settings that cannot be used.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for missing or invalid settings.
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
+/// Command line of the program.
 #[derive(Parser)]
-#[command(version, about = "A cluster scheduler after eSplash", arg_required_else_help = true)]
+#[command(version, about = "A cluster scheduler based on eSplash", arg_required_else_help = true)]
 struct Cli {
-    /// Settings handed over by the platform (TOML); without a command, serve with them
+    /// Platform settings (TOML); without a command, run a controller with them
     #[arg(long, value_name = "FILE", global = true)]
     config: Option<PathBuf>,
-    /// Operators' own settings (YAML)
+    /// Operator settings (YAML)
     #[arg(long, value_name = "FILE", global = true, env = "RUSHYOKE_POLICY")]
     policy: Option<PathBuf>,
     #[command(subcommand)]
     command: Option<Command>,
 }
 
+/// Subcommands; without one, the program runs a controller.
 #[derive(Subcommand)]
 enum Command {
-    /// Check the settings and exit
+    /// Validate the settings and exit
     Check,
     /// Submit the job described in a JSON file
     Submit {
         #[command(flatten)]
         target: client::ServerArgs,
-        /// The job, as in the body of POST /api/jobs; - reads standard input
+        /// Job description, in the format of the body of POST /api/jobs; - reads standard input
         file: PathBuf,
     },
-    /// Print a job's state
+    /// Print the state of a job
     Status {
         #[command(flatten)]
         target: client::ServerArgs,
@@ -60,55 +62,57 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let waits = Arc::new(AtomicU64::new(0));
-    let counted = waits.clone();
+    let parks = Arc::new(AtomicU64::new(0));
+    let park_counter = parks.clone();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .on_thread_park(move || {
-            counted.fetch_add(1, Ordering::Relaxed);
+            park_counter.fetch_add(1, Ordering::Relaxed);
         })
         .build();
     let runtime = match runtime {
         Ok(runtime) => runtime,
-        Err(error) => return fail(1, &format!("the runtime cannot start: {error}")),
+        Err(error) => return exit_with_error(1, &format!("cannot start the async runtime: {error}")),
     };
-    let client = match cli.command {
+    let request = match cli.command {
         Some(Command::Submit { target, file }) => client::Request::Submit { target, file },
         Some(Command::Status { target, id }) => client::Request::Status { target, id },
         Some(Command::Cancel { target, id }) => client::Request::Cancel { target, id },
         Some(Command::Check) | None => {
             let Some(config) = cli.config else {
-                return fail(BAD_SETTINGS, "--config FILE is missing");
+                return exit_with_error(EXIT_INVALID_SETTINGS, "--config FILE is missing");
             };
             let settings = match settings::load(&config, cli.policy.as_deref()) {
                 Ok(settings) => settings,
-                Err(error) => return fail(BAD_SETTINGS, &error),
+                Err(error) => return exit_with_error(EXIT_INVALID_SETTINGS, &error),
             };
             if cli.command.is_some() {
-                println!("the settings are fine");
+                println!("the settings are valid");
                 return ExitCode::SUCCESS;
             }
             init_log();
-            return match runtime.block_on(driver::run(settings, waits)) {
+            return match runtime.block_on(driver::run(settings, parks)) {
                 Ok(()) => ExitCode::SUCCESS,
-                Err(error) => fail(1, &error),
+                Err(error) => exit_with_error(1, &error),
             };
         }
     };
-    match runtime.block_on(client::run(client)) {
-        Ok(line) => {
-            println!("{line}");
+    match runtime.block_on(client::run(request)) {
+        Ok(response) => {
+            println!("{response}");
             ExitCode::SUCCESS
         }
-        Err(error) => fail(1, &error),
+        Err(error) => exit_with_error(1, &error),
     }
 }
 
-fn fail(code: u8, line: &str) -> ExitCode {
-    eprintln!("rushyoke: {}", line.replace('\n', " "));
+/// Prints an error on one line of standard error and returns the exit code.
+fn exit_with_error(code: u8, message: &str) -> ExitCode {
+    eprintln!("rushyoke: {}", message.replace('\n', " "));
     ExitCode::from(code)
 }
 
+/// Sets up logging to standard error, at the level of the environment variable `LOG_LEVEL`.
 fn init_log() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
         Ok("error") => tracing::Level::ERROR,
