--- a/crates/core/tests/mixes.rs
+++ b/crates/core/tests/random_faults.rs
@@ -1,5 +1,5 @@
 //! Drawn mixes of troubles, for the pairs that nobody named. The seeds are fixed; to run others by
-//! hand: `MIX_SEEDS=100..400 cargo test --release -p rushyoke-core --test mixes`.
+//! hand: `MIX_SEEDS=100..400 cargo test --release -p rushyoke-core --test random_faults`.
 
 use std::time::Duration;
 
