--- a/crates/core/tests/dependencies.rs
+++ b/crates/core/tests/dependencies.rs
@@ -1,6 +1,7 @@
-//! Jobs that await others while things fail. The world checks in every story that no task begins
-//! before all that its job awaits is done (`too_early`), and that no job is called queued or running
-//! for longer than `cancel_s` after one that it needs was cancelled (`orphaned`).
+//! Jobs with dependencies during faults. In every scenario the simulated world checks that no task
+//! starts before all dependencies of its job are done (`too_early`), and that no job is reported as
+//! queued or running for longer than `cancel_s` after a job that it depends on, directly or through
+//! others, was cancelled (`orphaned`).
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,61 +10,61 @@
 use rushyoke_testkit::{World, all, dependent, facts, job_id, millis, secs, service};
 use rushyoke_wire::job::{JobSpec, JobStatus, Priority};
 
-/// The jobs of a story: an id, a number of tasks and what it awaits.
-type Shape = &'static [(u32, u32, &'static [u32])];
+/// The jobs of a scenario: the number, the count of tasks and the dependencies of each.
+type JobGraph = &'static [(u32, u32, &'static [u32])];
 
-const CHAIN: Shape = &[(1, 3, &[]), (2, 2, &[1]), (3, 2, &[2]), (4, 1, &[3])];
-const DIAMOND: Shape = &[(1, 3, &[]), (2, 2, &[1]), (3, 4, &[1]), (4, 2, &[2, 3])];
+const CHAIN: JobGraph = &[(1, 3, &[]), (2, 2, &[1]), (3, 2, &[2]), (4, 1, &[3])];
+const DIAMOND: JobGraph = &[(1, 3, &[]), (2, 2, &[1]), (3, 4, &[1]), (4, 2, &[2, 3])];
 
-fn submit(world: &mut World, shape: Shape) {
-    for (n, (number, tasks, awaits)) in shape.iter().enumerate() {
-        assert_eq!(world.submit(n % 3, dependent(*number, *tasks, awaits)), Some(201));
+fn submit_graph(world: &mut World, graph: JobGraph) {
+    for (index, (number, tasks, dependencies)) in graph.iter().enumerate() {
+        assert_eq!(world.submit(index % 3, dependent(*number, *tasks, dependencies)), Some(201));
     }
 }
 
-/// Whether the job's end is durable as done.
+/// Whether the state service records the job as done.
 fn is_recorded_done(world: &World, number: u32) -> bool {
     world.store.rows.get(&format!("job/{}", job_id(number))).is_some_and(|row| row.0["state"] == "done")
 }
 
-fn run_until(world: &mut World, most: Duration, mut reached: impl FnMut(&World) -> bool) {
-    let end = world.now + most;
-    while !reached(world) {
-        assert!(world.now < end, "it was not reached in {most:?}");
+fn run_until(world: &mut World, timeout: Duration, mut condition: impl FnMut(&World) -> bool) {
+    let deadline = world.now + timeout;
+    while !condition(world) {
+        assert!(world.now < deadline, "the condition did not hold within {timeout:?}");
         world.run(millis(10));
     }
 }
 
-/// Task-starts of the jobs: whether any of their tasks runs.
-fn none_runs(world: &World, jobs: std::ops::RangeInclusive<u32>) -> bool {
+/// Whether no task of these jobs runs.
+fn none_running(world: &World, jobs: std::ops::RangeInclusive<u32>) -> bool {
     jobs.into_iter().all(|number| world.where_runs(&job_id(number)).is_empty())
 }
 
 #[test]
-fn the_leader_ends_between_the_end_of_a_dependency_and_the_start_of_its_dependents() {
-    for shape in [CHAIN, DIAMOND] {
-        for later in [0, 10, 30, 60, 120] {
+fn leader_crashes_between_the_end_of_a_dependency_and_the_start_of_its_dependents() {
+    for graph in [CHAIN, DIAMOND] {
+        for delay_ms in [0, 10, 30, 60, 120] {
             let (mut world, leader) = World::with_short_tasks();
-            submit(&mut world, shape);
+            submit_graph(&mut world, graph);
             run_until(&mut world, secs(30), |world| is_recorded_done(world, 1));
-            world.run(millis(later));
-            assert!(none_runs(&world, 2..=3), "{later}: no dependent has begun");
+            world.run(millis(delay_ms));
+            assert!(none_running(&world, 2..=3), "{delay_ms} ms: a dependent started before the crash");
             world.crash(leader);
             world.run(secs(6));
             world.start_node(leader);
             world.run(secs(40));
-            assert!(world.terms.len() > 1, "{later}: another node led");
-            assert_eq!(world.states(leader, 1..=4), all(JobStatus::Done, 4), "{later}");
+            assert!(world.terms.len() > 1, "{delay_ms} ms: no other node led");
+            assert_eq!(world.states(leader, 1..=4), all(JobStatus::Done, 4), "{delay_ms} ms");
         }
     }
 }
 
 #[test]
-fn the_transaction_that_ends_a_dependency_is_not_answered() {
-    for shape in [CHAIN, DIAMOND] {
+fn transaction_that_records_the_end_of_a_dependency_gets_no_response() {
+    for graph in [CHAIN, DIAMOND] {
         for late in [false, true] {
             let (mut world, leader) = World::with_short_tasks();
-            submit(&mut world, shape);
+            submit_graph(&mut world, graph);
             run_until(&mut world, secs(30), |world| world.rules.finished(&job_id(1)) == 3);
             if late {
                 world.hold_txns.insert(leader, world.now + secs(4));
@@ -71,123 +72,127 @@
                 world.lose_answers.insert(leader);
             }
             world.run(secs(3));
-            let known = is_recorded_done(&world, 1);
-            assert_eq!(known, !late, "carried out at once, or not yet");
-            assert!(none_runs(&world, 2..=3), "its end is not known to be durable");
+            let recorded = is_recorded_done(&world, 1);
+            assert_eq!(recorded, !late, "the transaction must be applied at once, unless it is held back");
+            assert!(none_running(&world, 2..=3), "a dependent started before the end was known to be durable");
             world.run(secs(2));
             world.calm();
             world.run(secs(45));
-            assert!(if late { world.late_commits > 0 } else { world.unanswered > 0 }, "an answer was missing");
+            assert!(if late { world.late_commits > 0 } else { world.unanswered > 0 }, "no response was lost or late");
             assert_eq!(world.states(leader, 1..=4), all(JobStatus::Done, 4), "late: {late}");
         }
     }
 }
 
 #[test]
-fn a_root_is_cancelled_while_the_old_leader_is_refused_and_then_nobody_is_served() {
-    for shape in [CHAIN, DIAMOND] {
-        for wait in [0, 1000, 2500] {
+fn root_is_cancelled_while_the_store_refuses_the_leader_before_an_outage() {
+    for graph in [CHAIN, DIAMOND] {
+        for delay_ms in [0, 1000, 2500] {
             let (mut world, leader) = World::with_short_tasks();
-            // One task of the root ends during the outage, the others would run on for long after it.
+            // One task of the root ends during the outage; the others would run for long after it.
             world.workers.values_mut().for_each(|worker| worker.run_s = 120.0);
-            submit(&mut world, shape);
+            submit_graph(&mut world, graph);
             world.run(secs(2));
             assert_eq!(world.where_runs(&job_id(1)).len(), 3);
-            let first = world.workers.values_mut().flat_map(|worker| &mut worker.tasks).next();
-            first.expect("it runs").until = world.now + secs(8);
+            let first_task = world.workers.values_mut().flat_map(|worker| &mut worker.tasks).next();
+            first_task.expect("a task is running").until = world.now + secs(8);
             let token = world.token_of(leader);
             world.no_store.insert(leader);
-            world.run(millis(wait));
-            let told = world.cancel((leader + 1) % 3, &job_id(1)).and_then(|(_, view)| view);
-            assert_eq!(told.map(|view| view.state), Some(JobStatus::Cancelled));
+            world.run(millis(delay_ms));
+            let view = world.cancel((leader + 1) % 3, &job_id(1)).and_then(|(_, view)| view);
+            assert_eq!(view.map(|view| view.state), Some(JobStatus::Cancelled));
             world.store.outage = true;
-            // Its workers go on reporting to it.
-            let mut reported = 0;
+            // The workers keep reporting to the old leader.
+            let mut seconds_led = 0;
             for _ in 0..45 {
                 world.run(secs(1));
-                reported += u32::from(world.token_of(leader) == token);
-                assert!(none_runs(&world, 2..=4), "no descendant runs");
+                seconds_led += u32::from(world.token_of(leader) == token);
+                assert!(none_running(&world, 2..=4), "a descendant of the cancelled job runs");
             }
-            assert!(wait > 1000 || reported > 0, "it went on leading for a while");
-            assert!(wait > 1000 || world.rules.finished(&job_id(1)) == 1, "it saw a task of the root end");
+            assert!(delay_ms > 1000 || seconds_led > 0, "the leader lost its term at once");
+            assert!(delay_ms > 1000 || world.rules.finished(&job_id(1)) == 1, "no task of the root ended");
             world.calm();
             world.run(secs(15));
             for node in 0..3 {
                 assert_eq!(world.states(node, 1..=4), all(JobStatus::Cancelled, 4));
             }
-            assert!(world.store.rows.keys().all(|key| !key.starts_with("live/")), "all is closed");
+            assert!(
+                world.store.rows.keys().all(|key| !key.starts_with("live/")),
+                "records of cancelled jobs are still live"
+            );
         }
     }
 }
 
 #[test]
-fn ends_and_cancellations_meet_in_the_same_instant_on_different_nodes() {
-    let mut ends = BTreeSet::new();
-    for shape in [CHAIN, DIAMOND] {
-        for moment in 0..12 {
-            for slow in [false, true] {
+fn job_end_and_cancellation_race_on_different_nodes() {
+    let mut outcomes = BTreeSet::new();
+    for graph in [CHAIN, DIAMOND] {
+        for step in 0..12 {
+            for slow_leader in [false, true] {
                 let (mut world, leader) = World::with_short_tasks();
-                submit(&mut world, shape);
+                submit_graph(&mut world, graph);
                 run_until(&mut world, secs(30), |world| world.rules.finished(&job_id(1)) == 3);
-                if slow {
-                    // The leader's transaction is under way while the other node's is carried out.
+                if slow_leader {
+                    // The leader's transaction is in flight while the other node's is carried out.
                     world.slow_txns.insert(leader, world.now + millis(1200));
                 }
-                world.run(millis(if slow { 80 } else { 40 } * moment));
+                world.run(millis(if slow_leader { 80 } else { 40 } * step));
                 world.ask_status(leader, &job_id(4));
-                let told = world.cancel((leader + 1) % 3, &job_id(1)).and_then(|(_, view)| view).expect("an answer");
+                let view = world.cancel((leader + 1) % 3, &job_id(1)).and_then(|(_, view)| view).expect("a response");
                 (0..3).for_each(|node| (1..=4).for_each(|number| world.ask_status(node, &job_id(number))));
                 world.run(secs(2));
                 world.calm();
                 world.run(secs(45));
                 for node in 0..3 {
-                    assert_eq!(world.states(node, 1..=4), all(told.state, 4), "{moment}");
+                    assert_eq!(world.states(node, 1..=4), all(view.state, 4), "step {step}");
                 }
-                ends.insert((slow, format!("{:?}", told.state)));
+                outcomes.insert((slow_leader, format!("{:?}", view.state)));
             }
         }
     }
-    assert!(ends.len() >= 3, "some were cancelled in time and some not: {ends:?}");
+    assert!(outcomes.len() >= 3, "the cancellation must win in some runs and lose in others: {outcomes:?}");
 }
 
-/// Settings of a deployment whose state service will take less.
+/// Facts of a deployment whose state service accepts smaller values and transactions.
 fn lower_limits() -> Facts {
     Facts { value_bytes: 2048, txn_ops: 5, ..facts(0, 3) }
 }
 
-/// Jobs with large values in the state service, whose leader knows nothing of coming limits.
-fn with_large_values() -> World {
+/// Returns a world with large values in the state service, whose nodes do not know the coming limits.
+fn world_with_large_values() -> World {
     let mut world = World::settled(6);
     world.check_every = 3;
     world.workers.values_mut().for_each(|worker| worker.run_s = 12.0);
     world.task_s = 12.0;
     assert_eq!(world.submit(0, service(90, 14)), Some(201));
-    (1..4).for_each(|number| assert_eq!(world.submit(0, wide(number)), Some(201)));
+    (1..4).for_each(|number| assert_eq!(world.submit(0, wide_array(number)), Some(201)));
     assert_eq!(world.submit(1, dependent(4, 2, &[1, 2, 3])), Some(201));
     world.run(secs(5));
-    let largest = largest_value(&world);
-    assert!(largest > Some(2048), "there are large values: {largest:?}");
+    let largest = largest_value_len(&world);
+    assert!(largest > Some(2048), "no large values: {largest:?}");
     world
 }
 
-/// A wide array of another team: its places take much of a value.
-fn wide(number: u32) -> JobSpec {
+/// A wide array of another team, whose placements fill much of a value.
+fn wide_array(number: u32) -> JobSpec {
     JobSpec { team: "blue".into(), cpus: 0.02, memory_gb: 0.1, ..dependent(number, 200, &[]) }
 }
 
-/// Of what is kept while jobs are not over.
-fn largest_value(world: &World) -> Option<usize> {
+/// Returns the length of the largest value that is kept for unfinished jobs.
+fn largest_value_len(world: &World) -> Option<usize> {
     let kept = |key: &str| ["log/", "task/", "live/"].into_iter().any(|prefix| key.starts_with(prefix));
     let rows = world.store.rows.iter().filter(|(key, _)| kept(key));
     rows.map(|(_, row)| row.0.to_string().len()).max()
 }
 
-fn limits_come(world: &mut World) {
+/// Makes the state service enforce the lower limits.
+fn enforce_lower_limits(world: &mut World) {
     (world.store.max_value, world.store.max_ops) = (2048, 5);
 }
 
-/// Each node ends and is back with the new settings, one after the other.
-fn roll_out(world: &mut World, pause: Duration) {
+/// Restarts the nodes with the lower limits, one after the other.
+fn roll_out_lower_limits(world: &mut World, pause: Duration) {
     for node in 0..3 {
         world.facts_of.insert(node, lower_limits());
         world.crash(node);
@@ -198,52 +203,52 @@
 }
 
 #[test]
-fn limits_come_in_the_midst_of_a_takeover() {
-    for later in [0, 900, 1500, 2500] {
-        let mut world = with_large_values();
-        roll_out(&mut world, secs(1));
+fn lower_limits_take_effect_during_a_takeover() {
+    for delay_ms in [0, 900, 1500, 2500] {
+        let mut world = world_with_large_values();
+        roll_out_lower_limits(&mut world, secs(1));
         let leader = world.leader().unwrap_or_default();
         world.crash(leader);
-        world.run(millis(later));
-        limits_come(&mut world);
+        world.run(millis(delay_ms));
+        enforce_lower_limits(&mut world);
         world.run(secs(4));
         world.start_node(leader);
-        assert_eq!(world.submit((leader + 1) % 3, wide(8)), Some(201));
+        assert_eq!(world.submit((leader + 1) % 3, wide_array(8)), Some(201));
         world.run(secs(60));
         assert!(world.terms.len() > 1);
         assert_eq!(world.states(leader, 8..=8), all(JobStatus::Done, 1));
-        assert_eq!(world.states(leader, 1..=4), all(JobStatus::Done, 4), "{later}");
+        assert_eq!(world.states(leader, 1..=4), all(JobStatus::Done, 4), "{delay_ms} ms");
         assert_eq!(world.where_runs(&job_id(90)).len(), 14);
-        // What stands in large values is never written as it is, and they go with what they name.
+        // Large values are never rewritten as they are, and are deleted with the jobs that they name.
         assert!(world.cancel(leader, &job_id(90)).is_some());
         world.run(secs(8));
         assert_eq!(world.submit(leader, dependent(7, 1, &[])), Some(201));
         world.run(secs(20));
-        assert!(largest_value(&world) <= Some(2048), "large ones go with what they name");
+        assert!(largest_value_len(&world) <= Some(2048), "large values outlived the jobs that they name");
     }
 }
 
 #[test]
-fn limits_come_with_the_end_of_a_rollout() {
-    let mut world = with_large_values();
+fn lower_limits_take_effect_at_the_end_of_a_rollout() {
+    let mut world = world_with_large_values();
     let types: Vec<String> = (0..200).map(|n| format!("type-of-machine-{n:04}")).chain(["m16".into()]).collect();
     let large = JobSpec { types: Some(types), ..dependent(5, 1, &[4]) };
     assert_eq!(world.submit(0, large), Some(201));
     assert_eq!(world.submit(0, dependent(6, 1, &[5])), Some(201));
-    // Old settings are back once more before their turn, and lead in between.
+    // Nodes with the old settings restart once more before the rollout, and lead in between.
     for node in [0, 1] {
         world.crash(node);
         world.run(millis(200));
         world.start_node(node);
         world.run(secs(2));
     }
-    roll_out(&mut world, millis(100));
-    limits_come(&mut world);
-    // Its description is larger than what may be written now.
+    roll_out_lower_limits(&mut world, millis(100));
+    enforce_lower_limits(&mut world);
+    // The spec of the job is larger than a value may be now.
     assert_eq!(world.cancel(1, &job_id(5)).map(|(status, _)| status), Some(200));
     let written = world.store.rows.get("live/wk-000005").map(|row| row.0.to_string().len());
     assert!(written < Some(2048), "{written:?}");
-    assert_eq!(world.submit(2, wide(8)), Some(201));
+    assert_eq!(world.submit(2, wide_array(8)), Some(201));
     world.run(secs(70));
     assert_eq!(world.states(1, 8..=8), all(JobStatus::Done, 1));
     assert_eq!(world.states(0, 5..=6), all(JobStatus::Cancelled, 2));
@@ -253,7 +258,7 @@
 }
 
 #[test]
-fn limits_come_in_the_midst_of_a_large_cancellation() {
+fn lower_limits_take_effect_during_a_large_cancellation() {
     let mut world = World::deployed(lower_limits(), 4, Policy::default(), &["a"]);
     world.check_every = 5;
     world.workers.values_mut().for_each(|worker| worker.run_s = 300.0);
@@ -267,17 +272,20 @@
     assert_eq!(world.rules.accepted().len(), 600);
     assert!(world.cancel(1, &job_id(1)).is_some());
     world.run(millis(500));
-    limits_come(&mut world);
-    assert_eq!(world.submit(2, wide(601)), Some(201));
-    let live = |world: &World| world.store.rows.keys().filter(|key| key.starts_with("live/")).count();
-    assert!(live(&world) > 300, "most records are still to be closed");
-    let asked: Vec<String> = (1..=500).map(job_id).collect();
+    enforce_lower_limits(&mut world);
+    assert_eq!(world.submit(2, wide_array(601)), Some(201));
+    let live_records = |world: &World| world.store.rows.keys().filter(|key| key.starts_with("live/")).count();
+    assert!(live_records(&world) > 300, "most records are closed already");
+    let ids: Vec<String> = (1..=500).map(job_id).collect();
     for node in 0..3 {
-        let answered = world.ask_all(node, &asked);
-        assert!(answered.iter().filter(|status| **status == 200).count() > 450, "node {node} answers");
+        let statuses = world.ask_all(node, &ids);
+        assert!(
+            statuses.iter().filter(|status| **status == 200).count() > 450,
+            "node {node} left too many requests without a response"
+        );
     }
     world.run(secs(60));
-    assert_eq!(live(&world), 1, "all but the job that was not cancelled are closed");
+    assert_eq!(live_records(&world), 1, "only the job that was not cancelled has a live record");
     assert_eq!(world.where_runs(&job_id(601)).len(), 200);
     for node in 0..3 {
         assert_eq!(world.states(node, 595..=600), all(JobStatus::Cancelled, 6));
@@ -285,9 +293,9 @@
 }
 
 #[test]
-fn a_deep_and_a_wide_family_is_cancelled_as_a_whole_on_every_node() {
-    // More ancestors than one transaction compares, and thousands of descendants. Nobody leads when
-    // they are asked about, so that all is derived from the root's record.
+fn deep_and_wide_descendants_of_a_cancelled_job_are_cancelled_on_every_node() {
+    // There are more ancestors than one transaction compares, and thousands of descendants. No node
+    // leads when they are queried, so every state is derived from the root's record.
     let (mut world, leader) = World::with_short_tasks();
     world.check_every = 20;
     world.workers.values_mut().for_each(|worker| worker.run_s = 900.0);
@@ -306,17 +314,21 @@
     assert!(world.cancel(node, &job_id(2)).is_some());
     world.run(millis(100));
     (0..3).filter(|other| *other != node).for_each(|other| world.crash(other));
-    for asked in [node, leader] {
-        world.start_node(asked);
-        run_until(&mut world, secs(25), |world| world.token_of(asked).is_none());
+    for queried in [node, leader] {
+        world.start_node(queried);
+        run_until(&mut world, secs(25), |world| world.token_of(queried).is_none());
         for number in [400, 399, 300, 2000, 401, 1234] {
-            let mut tries = 0;
-            while world.state(asked, &job_id(number)) != Some(JobStatus::Cancelled) {
-                tries += 1;
-                assert!(tries < 10, "node {asked}, job {number}");
+            let mut queries = 0;
+            while world.state(queried, &job_id(number)) != Some(JobStatus::Cancelled) {
+                queries += 1;
+                assert!(queries < 10, "node {queried}, job {number}");
             }
         }
-        assert_eq!(world.state(asked, &job_id(1)).map(JobStatus::is_final), Some(false), "it needs nothing");
+        assert_eq!(
+            world.state(queried, &job_id(1)).map(JobStatus::is_final),
+            Some(false),
+            "job 1 depends on no cancelled job"
+        );
     }
     world.start_node((leader + 2) % 3);
     world.run(secs(8));
@@ -325,33 +337,37 @@
 }
 
 #[test]
-fn a_cancelled_job_is_named_on_a_node_that_never_heard_of_it() {
+fn restarted_node_accepts_a_job_that_depends_on_a_cancelled_one() {
     let (mut world, leader) = World::with_short_tasks();
-    submit(&mut world, CHAIN);
+    submit_graph(&mut world, CHAIN);
     let node = (leader + 1) % 3;
     assert!(world.cancel(leader, &job_id(1)).is_some());
-    // It knows nothing, nobody leads, and the state service refuses it for a while.
-    (0..3).for_each(|n| world.crash(n));
+    // The restarted node knows no jobs, no node leads, and the state service refuses it for a while.
+    (0..3).for_each(|other| world.crash(other));
     world.start_node(node);
     world.run(millis(400));
     world.no_store.insert(node);
     world.run(secs(3));
-    assert_eq!(world.submit(node, dependent(10, 2, &[4])), Some(503), "nothing can be durable");
+    assert_eq!(world.submit(node, dependent(10, 2, &[4])), Some(503), "accepted although nothing can be made durable");
     world.no_store.clear();
     world.run(secs(1));
-    assert_eq!(world.submit(node, dependent(10, 2, &[4])), Some(201), "accepted all the same");
+    assert_eq!(
+        world.submit(node, dependent(10, 2, &[4])),
+        Some(201),
+        "a job that depends on a cancelled one must be accepted"
+    );
     assert_eq!(world.state(node, &job_id(10)), Some(JobStatus::Cancelled));
     assert_eq!(world.submit(node, dependent(10, 2, &[4])), Some(200));
-    (0..3).filter(|n| *n != node).for_each(|n| world.start_node(n));
+    (0..3).filter(|other| *other != node).for_each(|other| world.start_node(other));
     world.run(secs(10));
-    for n in 0..3 {
-        assert_eq!(world.states(n, 10..=10), all(JobStatus::Cancelled, 1));
+    for other in 0..3 {
+        assert_eq!(world.states(other, 10..=10), all(JobStatus::Cancelled, 1));
     }
-    assert!(none_runs(&world, 10..=10));
+    assert!(none_running(&world, 10..=10));
 }
 
 #[test]
-fn wide_lists_are_taken_as_far_as_values_hold_them_the_same_on_every_node() {
+fn every_node_accepts_dependency_lists_up_to_the_size_of_a_value() {
     let (mut world, _) = World::with_short_tasks();
     world.check_every = 10;
     for number in 1..=400 {
@@ -362,45 +378,45 @@
     assert_eq!(world.rules.accepted().len(), 400);
     world.store.names_one_failure = true;
     world.cloud.capacity = 30;
-    // Nodes that never heard of these jobs take as many as there are; what a value does not
-    // hold is refused everywhere, whether the jobs exist or not.
-    let named: Vec<u32> = (1..=400).collect();
-    assert_eq!(world.submit(1, dependent(500, 2, &named[..60])), Some(201));
+    // Nodes that do not know these jobs accept lists of all that exist; a list that does not fit
+    // into a value is rejected everywhere, whether the jobs exist or not.
+    let dependencies: Vec<u32> = (1..=400).collect();
+    assert_eq!(world.submit(1, dependent(500, 2, &dependencies[..60])), Some(201));
     world.store.names_one_failure = false;
-    assert_eq!(world.submit(1, dependent(501, 2, &named)), Some(201));
-    let beyond: Vec<u32> = (1..=700).collect();
+    assert_eq!(world.submit(1, dependent(501, 2, &dependencies)), Some(201));
+    let too_many: Vec<u32> = (1..=700).collect();
     for node in [0, 1, 2, 1] {
-        assert_eq!(world.submit(node, dependent(902, 2, &beyond)), Some(400), "node {node}");
+        assert_eq!(world.submit(node, dependent(902, 2, &too_many)), Some(400), "node {node}");
         assert_eq!(world.submit(node, dependent(903, 2, &[400, 401])), Some(422), "node {node}");
     }
     run_until(&mut world, secs(200), |world| is_recorded_done(world, 501) && is_recorded_done(world, 500));
-    assert_eq!(world.rules.awaited_starts, 2 * 460, "the order was checked");
+    assert_eq!(world.rules.awaited_starts, 2 * 460, "the order of all starts must be checked");
     for node in 0..3 {
-        assert_eq!(world.submit(node, dependent(501, 2, &named)), Some(200));
-        // An accepted job stays accepted, even if its repeat could not be taken today.
-        assert_eq!(world.submit(node, dependent(501, 2, &beyond)), Some(200));
+        assert_eq!(world.submit(node, dependent(501, 2, &dependencies)), Some(200));
+        // An accepted job stays accepted, even if its resubmission would be rejected as a new job.
+        assert_eq!(world.submit(node, dependent(501, 2, &too_many)), Some(200));
     }
 }
 
 #[test]
-fn a_list_that_a_value_holds_but_no_transaction_is_refused() {
+fn dependency_list_that_fits_a_value_but_no_transaction_is_rejected() {
     let large_values = Facts { value_bytes: 64 * 1024, ..facts(0, 3) };
     let mut world = World::deployed(large_values, 1, Policy::default(), &["a"]);
     world.store.max_value = 64 * 1024;
     world.run(secs(6));
     assert_eq!(world.submit(0, dependent(1, 1, &[])), Some(201));
-    let named = |count: u32| vec![1].into_iter().chain(10_000..10_000 + count).collect::<Vec<u32>>();
-    assert_eq!(world.submit(1, dependent(2, 1, &named(4000))), Some(400));
-    // A shorter one is judged by its jobs, which were never accepted.
-    assert_eq!(world.submit(1, dependent(3, 1, &named(2000))), Some(422));
+    let dependencies = |count: u32| vec![1].into_iter().chain(10_000..10_000 + count).collect::<Vec<u32>>();
+    assert_eq!(world.submit(1, dependent(2, 1, &dependencies(4000))), Some(400));
+    // A shorter list is rejected because its jobs were never accepted.
+    assert_eq!(world.submit(1, dependent(3, 1, &dependencies(2000))), Some(422));
 }
 
 #[test]
-fn an_accepted_job_is_not_refused_by_a_node_with_lower_limits() {
+fn accepted_job_is_not_rejected_by_a_node_with_lower_limits() {
     let (mut world, _) = World::with_short_tasks();
     let types: Vec<String> = (0..200).map(|n| format!("type-of-machine-{n:04}")).chain(["m16".into()]).collect();
     let large = JobSpec { types: Some(types), ..dependent(1, 1, &[]) };
-    let size = serde_json::to_string(&large).expect("it is JSON").len();
+    let size = serde_json::to_string(&large).expect("the spec can be serialized").len();
     assert!((2048..8000).contains(&size), "{size} bytes");
     assert_eq!(world.submit(0, large.clone()), Some(201));
     world.run(secs(12));
@@ -417,29 +433,30 @@
     }
 }
 
-/// A full fleet, a queue of jobs 3 to 5 of normal priority, and job 8 of the lowest, which job 10 awaits.
-fn queue_behind_a_full_fleet() -> World {
+/// Returns a world with a full fleet, jobs 3 to 5 of normal priority in the queue, and job 8 of the
+/// lowest priority, on which job 10 depends.
+fn full_fleet_with_queue() -> World {
     let (mut world, _) = World::with_short_tasks();
     world.cloud.capacity = 3;
     world.workers.values_mut().for_each(|worker| worker.run_s = 15.0);
-    let blue = |spec: JobSpec| JobSpec { team: "blue".into(), ..spec };
-    (1..=2).for_each(|number| assert_eq!(world.submit(0, blue(dependent(number, 48, &[]))), Some(201)));
+    let of_team_blue = |spec: JobSpec| JobSpec { team: "blue".into(), ..spec };
+    (1..=2).for_each(|number| assert_eq!(world.submit(0, of_team_blue(dependent(number, 48, &[]))), Some(201)));
     world.run(secs(1));
     for spec in [dependent(3, 16, &[]), dependent(4, 16, &[]), dependent(5, 16, &[])] {
-        assert_eq!(world.submit(0, blue(spec)), Some(201));
+        assert_eq!(world.submit(0, of_team_blue(spec)), Some(201));
     }
-    let lowest = |spec: JobSpec| JobSpec { priority: Priority::BestEffort, ..blue(spec) };
-    assert_eq!(world.submit(1, lowest(JobSpec { cpus: 2.0, ..dependent(8, 12, &[]) })), Some(201));
-    assert_eq!(world.submit(2, lowest(dependent(10, 1, &[8]))), Some(201));
+    let of_lowest_priority = |spec: JobSpec| JobSpec { priority: Priority::BestEffort, ..of_team_blue(spec) };
+    assert_eq!(world.submit(1, of_lowest_priority(JobSpec { cpus: 2.0, ..dependent(8, 12, &[]) })), Some(201));
+    assert_eq!(world.submit(2, of_lowest_priority(dependent(10, 1, &[8]))), Some(201));
     world
 }
 
-/// Which of the queue begins first.
-fn first_to_begin(world: &mut World) -> Option<u32> {
+/// Returns the queued job that starts first.
+fn first_job_to_start(world: &mut World) -> Option<u32> {
     for _ in 0..600 {
         world.run(millis(100));
-        let begun = |number: &u32| !world.where_runs(&job_id(*number)).is_empty();
-        if let Some(first) = [8, 3, 4, 5].into_iter().find(begun) {
+        let has_started = |number: &u32| !world.where_runs(&job_id(*number)).is_empty();
+        if let Some(first) = [8, 3, 4, 5].into_iter().find(has_started) {
             return Some(first);
         }
     }
@@ -447,20 +464,20 @@
 }
 
 #[test]
-fn priority_passes_through_a_chain_and_is_taken_back_with_the_job_that_gave_it() {
-    for leader_ends in [false, true] {
+fn priority_is_inherited_through_a_chain_until_its_source_is_cancelled() {
+    for leader_crashes in [false, true] {
         for cancelled in [false, true] {
-            let mut world = queue_behind_a_full_fleet();
-            // The last job of the pipeline comes when the others wait, or to another leader.
-            let end_leader = |world: &mut World| {
+            let mut world = full_fleet_with_queue();
+            // The last job of the pipeline is submitted while the others wait, or under another leader.
+            let restart_leader = |world: &mut World| {
                 let leader = world.leader().expect("a leader");
                 world.crash(leader);
                 world.run(secs(4));
                 world.start_node(leader);
                 world.run(secs(2));
             };
-            if leader_ends {
-                end_leader(&mut world);
+            if leader_crashes {
+                restart_leader(&mut world);
             }
             let last = JobSpec { priority: Priority::High, team: "blue".into(), ..dependent(9, 1, &[10]) };
             assert_eq!(world.submit(0, last), Some(201));
@@ -469,8 +486,8 @@
                 assert!(world.cancel(1, &job_id(9)).is_some());
             }
             world.workers.values_mut().for_each(|worker| worker.run_s = 4.0);
-            let first = first_to_begin(&mut world);
-            assert_eq!(first == Some(8), !cancelled, "{first:?} begins first; leader ends: {leader_ends}");
+            let first = first_job_to_start(&mut world);
+            assert_eq!(first == Some(8), !cancelled, "{first:?} starts first; leader crashes: {leader_crashes}");
             world.run(secs(60));
             assert_eq!(world.state(0, &job_id(10)), Some(JobStatus::Done));
         }
--- a/crates/core/tests/pipelines.rs
+++ b/crates/core/tests/pipelines.rs
@@ -1,12 +1,12 @@
-//! Jobs that await others. The world checks in every story that no task begins before all that its
-//! job awaits is done, and that no job is called queued or running for longer than `cancel_s`
-//! after one that it needs was cancelled.
+//! Jobs with dependencies. In every scenario the simulated world checks that no task starts before
+//! all dependencies of its job are done, and that no job is reported as queued or running for longer
+//! than `cancel_s` after a job that it depends on, directly or through others, was cancelled.
 
 use rushyoke_testkit::{World, all, dependent, job, job_id, millis, secs, service};
 use rushyoke_wire::job::{JobSpec, JobStatus, Priority};
 
-/// Jobs 1 to 4: 2 and 3 await 1, and 4 awaits both; 5 awaits 4.
-fn diamond(world: &mut World) {
+/// Submits jobs 1 to 5: 2 and 3 depend on 1, 4 depends on both, and 5 depends on 4.
+fn submit_diamond(world: &mut World) {
     let specs = [
         dependent(1, 3, &[]),
         dependent(2, 2, &[1]),
@@ -14,126 +14,137 @@
         dependent(4, 2, &[2, 3]),
         dependent(5, 2, &[4]),
     ];
-    for (n, spec) in specs.into_iter().enumerate() {
-        assert_eq!(world.submit(n % 3, spec), Some(201));
+    for (index, spec) in specs.into_iter().enumerate() {
+        assert_eq!(world.submit(index % 3, spec), Some(201));
     }
 }
 
 #[test]
-fn a_diamond_runs_in_its_order_and_waiting_jobs_hold_nothing() {
+fn diamond_runs_in_dependency_order_and_waiting_jobs_use_no_quota() {
     let (mut world, _) = World::with_short_tasks();
-    diamond(&mut world);
+    submit_diamond(&mut world);
     world.run(secs(3));
     assert_eq!(world.where_runs(&job_id(1)).len(), 3);
-    let view = world.status(1, &job_id(4)).and_then(|(_, view)| view).expect("a state");
+    let view = world.status(1, &job_id(4)).and_then(|(_, view)| view).expect("the job has a state");
     assert_eq!((view.state, view.dependencies), (JobStatus::Queued, vec![job_id(2), job_id(3)]));
-    // A team's whole limit is free for others meanwhile.
+    // Meanwhile, the team's whole limit is available to other jobs.
     world.cloud.capacity = 8;
     assert_eq!(world.submit(0, JobSpec { cpus: 60.0 / 16.0, ..service(9, 16) }), Some(201));
     world.run(secs(40));
     for node in 0..3 {
         assert_eq!(world.states(node, 1..=5), all(JobStatus::Done, 5));
     }
-    assert!(world.rules.awaited_starts >= 10, "the order was checked");
+    assert!(world.rules.awaited_starts >= 10, "the order of starts was not checked");
     assert!(world.store.rows.keys().all(|key| key != "live/wk-000005"));
 }
 
 #[test]
-fn a_pipeline_lives_through_changes_of_leader_at_any_moment() {
-    for moment in [500, 4200, 4700, 5200, 6000, 9500, 10_500] {
+fn pipeline_survives_leader_changes_at_any_time() {
+    for delay_ms in [500, 4200, 4700, 5200, 6000, 9500, 10_500] {
         let (mut world, leader) = World::with_short_tasks();
-        diamond(&mut world);
-        world.run(millis(moment));
+        submit_diamond(&mut world);
+        world.run(millis(delay_ms));
         world.crash(leader);
         world.run(secs(5));
         world.start_node(leader);
         world.run(secs(4));
-        let next = world.leader().expect("a lead");
+        let next = world.leader().expect("a leader");
         world.crash(next);
         world.run(millis(300));
         world.start_node(next);
         world.run(secs(35));
-        assert!(world.terms.len() > 2, "{moment}: leads changed");
-        assert_eq!(world.states(leader, 1..=5), all(JobStatus::Done, 5), "{moment}");
+        assert!(world.terms.len() > 2, "{delay_ms} ms: the leader did not change twice");
+        assert_eq!(world.states(leader, 1..=5), all(JobStatus::Done, 5), "{delay_ms} ms");
         world.check_served();
     }
 }
 
 #[test]
-fn a_cancellation_takes_all_that_needs_the_job_with_it() {
-    // Directly and through others, whichever is cancelled, and whoever leads.
-    for (cancelled, lost) in [(1, 1..=5), (2, 4..=5), (4, 4..=5)] {
-        for moment in [0, 1000, 3000] {
+fn cancelling_a_job_cancels_all_its_dependents() {
+    // Direct and indirect dependents, whichever job is cancelled and whichever node leads.
+    for (root, cancelled_jobs) in [(1, 1..=5), (2, 4..=5), (4, 4..=5)] {
+        for delay_ms in [0, 1000, 3000] {
             let (mut world, leader) = World::with_short_tasks();
-            diamond(&mut world);
-            world.run(millis(moment));
-            if moment == 1000 {
+            submit_diamond(&mut world);
+            world.run(millis(delay_ms));
+            if delay_ms == 1000 {
                 world.crash(leader);
             }
             let node = (leader + 1) % 3;
-            let told = world.cancel(node, &job_id(cancelled)).and_then(|(_, view)| view);
-            assert_eq!(told.map(|view| view.state), Some(JobStatus::Cancelled));
-            if moment == 3000 {
+            let view = world.cancel(node, &job_id(root)).and_then(|(_, view)| view);
+            assert_eq!(view.map(|view| view.state), Some(JobStatus::Cancelled));
+            if delay_ms == 3000 {
                 world.crash(leader);
             }
-            // The node that confirmed it never tells anything else; the others follow at once.
-            (1..=5).for_each(|id| world.ask_status((leader + 2) % 3, &job_id(id)));
-            assert_eq!(world.states(node, lost.clone()), all(JobStatus::Cancelled, lost.clone().count()));
-            assert_eq!(world.submit(node, dependent(6, 2, &[*lost.end()])), Some(201), "accepted all the same");
+            // The node that confirmed the cancellation never reports another state; the others follow at once.
+            (1..=5).for_each(|number| world.ask_status((leader + 2) % 3, &job_id(number)));
+            assert_eq!(
+                world.states(node, cancelled_jobs.clone()),
+                all(JobStatus::Cancelled, cancelled_jobs.clone().count())
+            );
+            assert_eq!(
+                world.submit(node, dependent(6, 2, &[*cancelled_jobs.end()])),
+                Some(201),
+                "a job that depends on a cancelled one must be accepted"
+            );
             assert_eq!(world.states(node, 6..=6), all(JobStatus::Cancelled, 1));
             world.run(secs(30));
             world.start_node(leader);
             world.run(secs(8));
-            let ends = world.states(leader, 1..=6);
-            for id in 1..=6 {
-                let gone = id == cancelled || lost.contains(&id) || id == 6;
-                let end = if gone { JobStatus::Cancelled } else { JobStatus::Done };
-                assert_eq!(ends[id as usize - 1], Some(end), "{cancelled} at {moment}: job {id}");
+            let states = world.states(leader, 1..=6);
+            for number in 1..=6 {
+                let is_cancelled = number == root || cancelled_jobs.contains(&number) || number == 6;
+                let expected = if is_cancelled { JobStatus::Cancelled } else { JobStatus::Done };
+                assert_eq!(
+                    states[number as usize - 1],
+                    Some(expected),
+                    "job {root} cancelled at {delay_ms} ms: job {number}"
+                );
             }
-            assert!(world.store.rows.keys().all(|key| !key.starts_with("live/")), "all is closed");
+            assert!(world.store.rows.keys().all(|key| !key.starts_with("live/")), "some records are still live");
             let record = &world.store.rows[&format!("job/{}", job_id(6))].0;
-            assert_eq!(record["state"], "cancelled", "its end is durable");
+            assert_eq!(record["state"], "cancelled", "the end of the job must be durable");
         }
     }
 }
 
 #[test]
-fn dependencies_that_end_or_are_cancelled_while_the_leader_changes() {
-    for moment in [0, 300, 700, 1100, 1600, 2200] {
+fn dependency_ends_or_is_cancelled_while_the_leader_changes() {
+    for delay_ms in [0, 300, 700, 1100, 1600, 2200] {
         let (mut world, leader) = World::with_short_tasks();
-        diamond(&mut world);
+        submit_diamond(&mut world);
         while world.rules.finished(&job_id(1)) < 3 {
             world.run(millis(10));
         }
-        world.run(millis(moment));
+        world.run(millis(delay_ms));
         world.crash(leader);
         let node = (leader + 1) % 3;
-        // It may be done already: then the jobs after it go on.
-        let mut told = None;
-        while told.is_none_or(|state: JobStatus| !state.is_final()) {
-            told = world.cancel(node, &job_id(1)).and_then(|(_, view)| view).map(|view| view.state);
+        // The job may be done already: then its dependents run.
+        let mut final_state = None;
+        while final_state.is_none_or(|state: JobStatus| !state.is_final()) {
+            final_state = world.cancel(node, &job_id(1)).and_then(|(_, view)| view).map(|view| view.state);
             world.run(millis(200));
         }
         world.run(secs(3));
         world.start_node(leader);
         world.run(secs(45));
-        let end = told.expect("an end");
-        assert_eq!(world.states(node, 1..=5), all(end, 5), "{moment}");
+        let expected = final_state.expect("a final state");
+        assert_eq!(world.states(node, 1..=5), all(expected, 5), "{delay_ms} ms");
     }
 }
 
 #[test]
-fn an_orphan_is_never_called_alive_while_nobody_leads() {
-    // Without a leader nothing is written down; what is told is derived from the job that was cancelled.
+fn orphan_is_reported_as_cancelled_while_no_node_leads() {
+    // Without a leader no end is recorded; the reported state is derived from the cancelled job.
     let (mut world, leader) = World::with_short_tasks();
-    diamond(&mut world);
+    submit_diamond(&mut world);
     let node = (leader + 1) % 3;
     world.crash(leader);
     world.crash((leader + 2) % 3);
     world.cancel(node, &job_id(1));
     world.run(secs(1));
     let record = &world.store.rows["job/wk-000005"].0;
-    assert_eq!(record["state"], "open", "nobody has written it down");
+    assert_eq!(record["state"], "open", "the end is recorded although no node leads");
     assert_eq!(world.states(node, 2..=5), all(JobStatus::Cancelled, 4));
     world.start_node(leader);
     world.start_node((leader + 2) % 3);
@@ -142,16 +153,16 @@
 }
 
 #[test]
-fn only_accepted_jobs_can_be_awaited_and_a_retry_stays_accepted() {
+fn dependencies_must_be_accepted_jobs_and_resubmissions_stay_accepted() {
     let (mut world, leader) = World::with_short_tasks();
-    assert_eq!(world.submit(0, dependent(2, 2, &[1])), Some(422), "never accepted");
-    assert_eq!(world.submit(0, dependent(3, 2, &[3])), Some(422), "itself");
+    assert_eq!(world.submit(0, dependent(2, 2, &[1])), Some(422), "the dependency was never accepted");
+    assert_eq!(world.submit(0, dependent(3, 2, &[3])), Some(422), "the job depends on itself");
     assert_eq!(world.submit(1, dependent(1, 2, &[])), Some(201));
     assert_eq!(world.submit(2, dependent(2, 2, &[1])), Some(201));
     assert_eq!(world.submit(0, dependent(2, 2, &[1])), Some(200));
     world.run(secs(20));
     assert_eq!(world.states(0, 1..=2), all(JobStatus::Done, 2));
-    // Long over, and out of every cache.
+    // The jobs have ended, and the restarts clear every node's cache.
     (0..3).for_each(|node| world.crash(node));
     world.run(secs(1));
     (0..3).for_each(|node| world.start_node(node));
@@ -160,7 +171,7 @@
     assert_eq!(world.submit(0, dependent(2, 2, &[1])), Some(200));
     world.run(secs(12));
     assert_eq!(world.states(1, 4..=4), all(JobStatus::Done, 1));
-    // While the store is silent nobody knows.
+    // During an outage of the state service, no node knows whether the dependency was accepted.
     world.store.outage = true;
     world.run(secs(4));
     assert_eq!(world.submit(1, dependent(5, 2, &[4])), Some(503));
@@ -168,15 +179,16 @@
 }
 
 #[test]
-fn a_job_takes_the_priority_of_those_that_need_it() {
+fn job_inherits_the_priority_of_its_dependents() {
     let (mut world, _) = World::with_short_tasks();
     world.cloud.capacity = 3;
-    // All is full; then a long queue, with a pipeline whose last job matters at its end.
-    let filler = |id: u32| JobSpec { team: "blue".into(), ..job(id, 48) };
+    // The fleet is full, and at the end of a long queue is a pipeline whose last job has high priority.
+    let filler = |number: u32| JobSpec { team: "blue".into(), ..job(number, 48) };
     world.submit(0, filler(1));
     world.submit(0, filler(2));
     world.run(secs(1));
-    (3..6).for_each(|id| assert_eq!(world.submit(0, JobSpec { team: "blue".into(), ..job(id, 16) }), Some(201)));
+    (3..6)
+        .for_each(|number| assert_eq!(world.submit(0, JobSpec { team: "blue".into(), ..job(number, 16) }), Some(201)));
     let low = JobSpec { priority: Priority::BestEffort, cpus: 2.0, team: "blue".into(), ..dependent(8, 12, &[]) };
     assert_eq!(world.submit(1, low), Some(201));
     let high = JobSpec { priority: Priority::High, team: "blue".into(), ..dependent(9, 1, &[8]) };
@@ -184,31 +196,34 @@
     let mut first = None;
     for _ in 0..300 {
         world.run(millis(100));
-        let begun = |id: u32| !world.where_runs(&job_id(id)).is_empty();
-        first = first.or_else(|| [8, 3, 4, 5].into_iter().find(|id| begun(*id)));
+        let has_started = |number: u32| !world.where_runs(&job_id(number)).is_empty();
+        first = first.or_else(|| [8, 3, 4, 5].into_iter().find(|number| has_started(*number)));
     }
-    assert_eq!(first, Some(8), "it goes before work of its own priority and above");
+    assert_eq!(first, Some(8), "job 8 must start before jobs of its own and of higher priority");
     world.run(secs(40));
     assert_eq!(world.states(1, 8..=9), all(JobStatus::Done, 2));
 }
 
 #[test]
-fn a_long_chain_ends_as_a_whole() {
+fn cancellation_reaches_the_end_of_a_long_chain() {
     let (mut world, leader) = World::with_short_tasks();
     world.workers.values_mut().for_each(|worker| worker.run_s = 200.0);
     world.submit(0, service(901, 2));
     world.submit(0, dependent(1, 1, &[]));
-    for id in 2..=300 {
-        world.ask_submit(id as usize % 3, dependent(id, 1, &[id - 1]));
+    for number in 2..=300 {
+        world.ask_submit(number as usize % 3, dependent(number, 1, &[number - 1]));
         world.run(millis(80));
     }
     world.run(secs(1));
     let accepted = world.rules.accepted();
-    let missing: Vec<u32> = (1..=300).filter(|id| !accepted.contains(&job_id(*id))).collect();
+    let missing: Vec<u32> = (1..=300).filter(|number| !accepted.contains(&job_id(*number))).collect();
     assert!(missing.is_empty(), "{missing:?} are not accepted");
     world.cancel((leader + 1) % 3, &job_id(2));
     world.run(secs(25));
     assert_eq!(world.state(leader, &job_id(300)), Some(JobStatus::Cancelled));
     assert_eq!(world.state((leader + 2) % 3, &job_id(150)), Some(JobStatus::Cancelled));
-    assert!(world.store.rows.keys().filter(|key| key.starts_with("live/")).count() == 2, "all else is closed");
+    assert!(
+        world.store.rows.keys().filter(|key| key.starts_with("live/")).count() == 2,
+        "records of cancelled jobs are still live"
+    );
 }
