--- a/crates/core/tests/esplash.rs
+++ b/crates/core/tests/esplash.rs
@@ -1,4 +1,4 @@
-//! The eSplash steps on worked numbers.
+//! The steps of eSplash, checked against results computed by hand.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,104 +11,104 @@
 use rushyoke_testkit::{World, job};
 use rushyoke_wire::job::JobStatus;
 
-fn vector(times: &[(&str, f64)]) -> Performance {
+fn performance(times: &[(&str, f64)]) -> Performance {
     times.iter().map(|(kind, s)| ((*kind).into(), *s)).collect::<BTreeMap<_, _>>()
 }
 
 #[test]
-fn machines_that_do_not_dominate_one_another_stay_together() {
-    let points = [
-        vector(&[("a", 10.0), ("b", 20.0)]),
-        vector(&[("a", 12.0), ("b", 18.0)]), // slower in a, faster in b than the first
-        vector(&[("a", 30.0), ("b", 60.0)]),
-        vector(&[("a", 11.0)]), // lies between the first two in the one shared type
+fn machines_that_do_not_dominate_each_other_share_a_group() {
+    let performances = [
+        performance(&[("a", 10.0), ("b", 20.0)]),
+        performance(&[("a", 12.0), ("b", 18.0)]), // slower in a, faster in b than the first
+        performance(&[("a", 30.0), ("b", 60.0)]),
+        performance(&[("a", 11.0)]), // lies between the first two in the one shared type
     ];
-    let mut found = groups(&points);
-    found.iter_mut().for_each(|g| g.sort());
-    found.sort();
-    assert_eq!(found, vec![vec![0, 1, 3], vec![2]]);
+    let mut result = groups(&performances);
+    result.iter_mut().for_each(|group| group.sort());
+    result.sort();
+    assert_eq!(result, vec![vec![0, 1, 3], vec![2]]);
 }
 
 #[test]
-fn faster_machines_have_the_higher_level() {
-    let slow = [40.0, 41.0, 42.0].map(|s| vector(&[("a", s), ("b", 2.0 * s)]));
-    let fast = [10.0, 11.0, 12.0].map(|s| vector(&[("a", s), ("b", 2.0 * s)]));
-    let points: Vec<Performance> = slow.into_iter().chain(fast).collect();
+fn faster_machines_get_a_higher_level() {
+    let slow = [40.0, 41.0, 42.0].map(|s| performance(&[("a", s), ("b", 2.0 * s)]));
+    let fast = [10.0, 11.0, 12.0].map(|s| performance(&[("a", s), ("b", 2.0 * s)]));
+    let performances: Vec<Performance> = slow.into_iter().chain(fast).collect();
     for seed in 0..5 {
-        let found = levels(&points, 2, &mut StdRng::seed_from_u64(seed));
+        let result = levels(&performances, 2, &mut StdRng::seed_from_u64(seed));
         assert!(
-            found[..3].iter().all(|slow| found[3..].iter().all(|fast| slow < fast))
-                || found.iter().all(|l| *l == found[0]),
-            "{found:?}"
+            result[..3].iter().all(|slow| result[3..].iter().all(|fast| slow < fast))
+                || result.iter().all(|level| *level == result[0]),
+            "{result:?}"
         );
-        let all = levels(&points, 1, &mut StdRng::seed_from_u64(seed));
+        let all = levels(&performances, 1, &mut StdRng::seed_from_u64(seed));
         assert_eq!(all, vec![0; 6]);
     }
-    // With a level for each machine the order is the whole order.
-    let found = levels(&points, 6, &mut StdRng::seed_from_u64(1));
-    assert_eq!(found, vec![2, 1, 0, 5, 4, 3]);
+    // With one level per machine, the levels are a total order of the machines.
+    let result = levels(&performances, 6, &mut StdRng::seed_from_u64(1));
+    assert_eq!(result, vec![2, 1, 0, 5, 4, 3]);
 }
 
 #[test]
-fn a_cell_needs_enough_tasks_and_some_spread() {
+fn cell_requires_enough_tasks_and_a_nonzero_deviation() {
     let mut moments = Moments::default();
     [8.0, 10.0, 12.0, 10.0].iter().for_each(|s| moments.add(*s));
     assert_eq!(moments.cell(5), None);
     moments.add(10.0);
     let cell = moments.cell(5).expect("five tasks");
-    // Squares of the differences: 4 + 4 over five tasks is a variance of 1.6.
+    // The squared differences 4 + 4 over five tasks give a variance of 1.6.
     assert!((cell.mean_s - 10.0).abs() < 1e-9 && (cell.std_dev_s - 1.6f64.sqrt()).abs() < 1e-9, "{cell:?}");
-    let mut same = Moments::default();
-    (0..9).for_each(|_| same.add(7.0));
-    assert_eq!(same.cell(5), None);
+    let mut equal_times = Moments::default();
+    (0..9).for_each(|_| equal_times.add(7.0));
+    assert_eq!(equal_times.cell(5), None);
 }
 
 #[test]
-fn the_straggler_value_sums_what_is_past_the_mean() {
+fn straggler_value_sums_the_deviations_above_the_mean() {
     let cell = Cell { mean_s: 10.0, std_dev_s: 2.0 };
-    // 16 is three deviations past the mean, 11 half of one; 9 does not count.
+    // 16 is three standard deviations above the mean, 11 is half of one; 9 does not count.
     assert_eq!(straggler_value(&[(16.0, cell), (9.0, cell), (11.0, cell)]), 3.5);
     assert_eq!(straggler_value(&[(4.0, cell)]), 0.0);
 }
 
 #[test]
-fn the_minimum_level_has_the_least_expected_time() {
+fn minimum_level_has_the_least_expected_time() {
     // Level 0: 40 s on 10 containers, level 1: 20 s on 10, level 2: 30 s on 20.
-    let table = [(Some(40.0), 10.0), (Some(20.0), 10.0), (Some(30.0), 20.0)];
-    // From 0: (400 + 200 + 600) / 40 = 30; from 1: 800 / 30 = 26.7; from 2: 30.
-    let (level, expected) = minimum_level(0, &table).expect("known cells");
+    let level_stats = [(Some(40.0), 10.0), (Some(20.0), 10.0), (Some(30.0), 20.0)];
+    // Starting at level 0: (400 + 200 + 600) / 40 = 30; at 1: 800 / 30 = 26.7; at 2: 30.
+    let (level, expected) = minimum_level(0, &level_stats).expect("a level with statistics");
     assert_eq!(level, 1);
     assert!((expected - 800.0 / 30.0).abs() < 1e-9);
-    assert_eq!(minimum_level(2, &table), Some((2, 30.0)));
-    // A level without statistics says nothing.
+    assert_eq!(minimum_level(2, &level_stats), Some((2, 30.0)));
+    // A level without statistics or without containers is ignored.
     assert_eq!(minimum_level(0, &[(None, 10.0), (Some(20.0), 0.0)]), None);
     assert_eq!(minimum_level(0, &[(None, 10.0), (Some(20.0), 4.0)]), Some((0, 20.0)));
 }
 
 #[test]
-fn the_gain_counts_containers_from_the_minimum_level_up() {
-    let table = [(Some(40.0), 10.0), (Some(20.0), 10.0), (Some(30.0), 20.0)];
-    // 50 s to go: (10 * 30 + 20 * 20) / 40 = 17.5 s.
-    assert_eq!(expected_gain_s(1, 50.0, &table), 17.5);
-    assert!(expected_gain_s(1, 20.0, &table) < 0.0);
+fn expected_gain_counts_containers_from_the_minimum_level_up() {
+    let level_stats = [(Some(40.0), 10.0), (Some(20.0), 10.0), (Some(30.0), 20.0)];
+    // With 50 s remaining: (10 * 30 + 20 * 20) / 40 = 17.5 s.
+    assert_eq!(expected_gain_s(1, 50.0, &level_stats), 17.5);
+    assert!(expected_gain_s(1, 20.0, &level_stats) < 0.0);
     assert_eq!(expected_gain_s(0, 50.0, &[]), 0.0);
-    // Before the mean the rest of it is to go; past it, as long as it is past.
+    // Below the mean run time, its rest remains; above it, the time by which the task exceeds it.
     assert_eq!((remaining_s(40.0, 30.0), remaining_s(40.0, 100.0)), (10.0, 60.0));
 }
 
 #[test]
-fn a_task_on_a_slow_machine_is_restarted_once_elsewhere() {
+fn stragglers_on_a_slow_machine_are_restarted_elsewhere_only_once() {
     let mut world = World::new(4);
     world.run(Duration::from_secs(6));
-    // Run times differ a little from machine to machine; one is twenty times slower.
+    // Run times differ slightly between machines; one machine is twenty times slower.
     for (n, worker) in world.workers.values_mut().enumerate() {
         worker.slow = 1.0 + 0.1 * n as f64;
     }
-    world.workers.get_mut("n-000001").expect("up").slow = 20.0;
+    world.workers.get_mut("n-000001").expect("the machine is up").slow = 20.0;
     let mut spec = job(1, 32);
     spec.cpus = 2.0;
     world.submit(0, spec);
-    // Untouched, the slow machine's tasks would take 200 s.
+    // Without restarts, the slow machine's tasks would take 200 s.
     world.run(Duration::from_secs(120));
     assert_eq!(world.state(0, "wk-000001"), Some(JobStatus::Done));
     assert!(world.started > 32 && world.started <= 32 + 8, "{} starts", world.started);
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Stories of a fleet of many hundreds of machines, on the same stand-ins.
+//! Scenarios with fleets of tens to thousands of machines, on the same fakes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,8 +9,8 @@
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// A deployment of three zones whose cloud has this many machines, none of them up.
-fn fleet(machines: u32) -> World {
+/// Returns a deployment of three zones whose cloud offers this many machines, none of them rented.
+fn empty_fleet(machines: u32) -> World {
     let team = Team { cpus: 20_000.0, cpus_max: 40_000.0, gpus: 0.0, gpus_max: 0.0 };
     let facts = Facts { teams: BTreeMap::from([("red".into(), team)]), cloud_rps: 10.0, ..facts(0, 3) };
     let mut world = World::deployed(facts, 0, Policy::default(), &ZONES);
@@ -19,37 +19,37 @@
 }
 
 #[test]
-fn a_whole_fleet_is_rented_within_seconds() {
-    // Found on the first quiet day at this size: a third of 50 machines a second came, and
-    // the first tasks of jobs that had come at the start began after 90 s.
-    let mut world = fleet(600);
+fn whole_fleet_is_rented_within_seconds() {
+    // Guards against renting too slowly: at this size only a third of 50 machines a second were
+    // rented, and the first tasks of jobs submitted at the start began after 90 s.
+    let mut world = empty_fleet(600);
     world.run(secs(2));
-    (0..40).for_each(|id| assert_eq!(world.submit(0, job(id, 160)), Some(201)));
+    (0..40).for_each(|number| assert_eq!(world.submit(0, job(number, 160)), Some(201)));
     world.run(secs(4));
     assert!(world.cloud.machines.len() >= 400, "{} machines", world.cloud.machines.len());
     for zone in ZONES {
-        let there = world.cloud.machines.values().filter(|m| m.zone == zone).count();
-        assert!(there * 4 >= world.cloud.machines.len(), "{there} machines in {zone}");
+        let in_zone = world.cloud.machines.values().filter(|m| m.zone == zone).count();
+        assert!(in_zone * 4 >= world.cloud.machines.len(), "{in_zone} machines in {zone}");
     }
 }
 
-/// A fleet of ordinary machines that are up, each with replicas of many small services.
-fn at_work(machines: usize, services: u32) -> World {
+/// Returns a fleet of running on-demand machines, each with replicas of many small services.
+fn fleet_with_services(machines: usize, services: u32) -> World {
     let team = Team { cpus: 20_000.0, cpus_max: 40_000.0, gpus: 0.0, gpus_max: 0.0 };
     let teams = BTreeMap::from([("red".into(), team)]);
     let facts = Facts { teams, cloud_rps: 10.0, worker_lease: secs(20), cancel_limit: secs(40), ..facts(0, 3) };
     let mut world = World::deployed(facts, machines, Policy::default(), &ZONES);
     world.cloud.capacity = machines as u32 * 2;
     world.run(secs(6));
-    for id in 0..services {
-        assert_eq!(world.submit(id as usize % 3, service(id, 8)), Some(201));
+    for number in 0..services {
+        assert_eq!(world.submit(number as usize % 3, service(number, 8)), Some(201));
     }
     world.run(secs(3));
     world
 }
 
-/// A large deployment of three teams that each have so many CPUs guaranteed and at the most.
-fn large(cpus: f64, cpus_max: f64) -> Facts {
+/// Facts of a large deployment with three teams, each with this guarantee and this limit of CPUs.
+fn large_deployment(cpus: f64, cpus_max: f64) -> Facts {
     let team = |name: &str| (name.to_owned(), Team { cpus, cpus_max, gpus: 0.0, gpus_max: 0.0 });
     Facts {
         teams: BTreeMap::from(["red", "blue", "green"].map(team)),
@@ -62,209 +62,243 @@
     }
 }
 
-/// Machines of the last records that run replicas, and how many replicas run.
-fn at_work_on(world: &World, services: u32) -> (BTreeSet<String>, usize) {
-    let places: Vec<_> = (0..services).flat_map(|id| world.where_runs(&format!("wk-{id:06}"))).collect();
-    (places.iter().map(|(_, machine)| machine.clone()).collect(), places.len())
+/// Returns the machines on which replicas run, and the number of running replicas.
+fn running_replicas(world: &World, services: u32) -> (BTreeSet<String>, usize) {
+    let placements: Vec<_> = (0..services).flat_map(|number| world.where_runs(&format!("wk-{number:06}"))).collect();
+    (placements.iter().map(|(_, machine)| machine.clone()).collect(), placements.len())
 }
 
 #[test]
-fn a_third_of_the_fleet_cut_off_for_less_than_its_lease_loses_nothing() {
-    // Found on a day with a third of the machines cut off: they were returned within seconds,
-    // and there was no room for their replicas before others had booted.
-    let mut world = at_work(60, 60);
-    let (hosts, running) = at_work_on(&world, 60);
+fn partition_shorter_than_the_lease_loses_no_replicas() {
+    // Guards against giving up too early: with a third of the machines partitioned, they were
+    // released within seconds, and no machine had free resources for their replicas before
+    // new machines had booted.
+    let mut world = fleet_with_services(60, 60);
+    let (hosts, running) = running_replicas(&world, 60);
     assert_eq!(running, 480);
-    let cut: BTreeSet<String> = hosts.into_iter().step_by(2).collect();
-    world.cut.extend(cut.iter().cloned());
+    let partitioned: BTreeSet<String> = hosts.into_iter().step_by(2).collect();
+    world.cut.extend(partitioned.iter().cloned());
     world.run(secs(9));
-    assert_eq!(world.started, 480, "replicas that run were given up");
+    assert_eq!(world.started, 480, "running replicas were restarted elsewhere");
     world.cut.clear();
     world.run(secs(12));
-    assert_eq!(at_work_on(&world, 60).1, 480);
-    assert!(cut.iter().all(|name| world.workers[name].session == 1), "a lease ended");
+    assert_eq!(running_replicas(&world, 60).1, 480);
+    assert!(partitioned.iter().all(|name| world.workers[name].session == 1), "a worker's lease expired");
 }
 
 #[test]
-fn what_is_cut_off_for_longer_is_back_soon_after_its_leases() {
-    for crash in [false, true] {
-        let mut world = at_work(60, 60);
-        let (hosts, _) = at_work_on(&world, 60);
-        let cut: Vec<String> = hosts.iter().step_by(2).cloned().collect();
-        world.cut.extend(cut.iter().cloned());
-        if crash {
-            let leader = world.leader().expect("a lead");
+fn partitioned_replicas_run_elsewhere_soon_after_their_leases_expire() {
+    for leader_crashes in [false, true] {
+        let mut world = fleet_with_services(60, 60);
+        let (hosts, _) = running_replicas(&world, 60);
+        let partitioned: Vec<String> = hosts.iter().step_by(2).cloned().collect();
+        world.cut.extend(partitioned.iter().cloned());
+        if leader_crashes {
+            let leader = world.leader().expect("a leader");
             world.crash(leader);
             world.run(secs(1));
             world.start_node(leader);
         }
-        // All that was lost runs elsewhere, on machines that were made ready meanwhile.
+        // All lost replicas run elsewhere, on machines that were prepared in the meantime.
         world.run(secs(24));
-        assert_eq!(at_work_on(&world, 60).1, 480, "crash: {crash}");
-        assert!(cut.iter().all(|name| !world.workers.contains_key(name)), "crash: {crash}: they were not returned");
+        assert_eq!(running_replicas(&world, 60).1, 480, "leader crashes: {leader_crashes}");
+        assert!(
+            partitioned.iter().all(|name| !world.workers.contains_key(name)),
+            "leader crashes: {leader_crashes}: partitioned machines were not released"
+        );
     }
 }
 
 #[test]
-fn few_dead_machines_or_a_wave_of_spot_machines_are_not_taken_for_a_cut() {
-    let mut world = at_work(60, 60);
-    let (hosts, _) = at_work_on(&world, 60);
+fn few_dead_machines_or_reclaimed_spot_machines_are_not_taken_for_a_partition() {
+    let mut world = fleet_with_services(60, 60);
+    let (hosts, _) = running_replicas(&world, 60);
     for dead in hosts.iter().take(5) {
         world.workers.remove(dead);
     }
     world.run(secs(8));
-    assert_eq!(at_work_on(&world, 60).1, 480, "their leases were waited for");
-    // Work that may use spot machines, all of which are taken without notice.
-    (100..112).for_each(|id| assert_eq!(world.submit(0, job(id, 60)), Some(201)));
+    assert_eq!(running_replicas(&world, 60).1, 480, "replicas were not restarted before the leases expired");
+    // Jobs that may use spot machines, all of which are then reclaimed without notice.
+    (100..112).for_each(|number| assert_eq!(world.submit(0, job(number, 60)), Some(201)));
     world.run(secs(16));
-    let spot: Vec<String> = world.workers.iter().filter(|(_, w)| w.spot).map(|(name, _)| name.clone()).collect();
+    let spot: Vec<String> =
+        world.workers.iter().filter(|(_, worker)| worker.spot).map(|(name, _)| name.clone()).collect();
     assert!((25..50).contains(&spot.len()), "{} spot machines", spot.len());
     for name in &spot {
         world.workers.remove(name);
     }
     world.run(secs(8));
-    assert!(spot.iter().all(|name| !world.cloud.machines.contains_key(name)), "their leases were waited for");
+    assert!(
+        spot.iter().all(|name| !world.cloud.machines.contains_key(name)),
+        "reclaimed machines were kept until their leases expired"
+    );
 }
 
 #[test]
-fn a_takeover_of_a_large_fleet_with_a_third_of_it_silent_serves_services_first() {
-    let facts = large(6_000.0, 14_000.0);
+fn takeover_with_a_third_of_the_fleet_partitioned_recovers_services_first() {
+    let facts = large_deployment(6_000.0, 14_000.0);
     let mut world = World::deployed(facts, 1900, Policy::default(), &ZONES);
-    world.workers.values_mut().for_each(|w| w.run_s = 300.0);
+    world.workers.values_mut().for_each(|worker| worker.run_s = 300.0);
     world.task_s = 300.0;
     world.check_every = 20;
     world.cloud.capacity = 2400;
     world.run(secs(8));
-    // Tens of thousands of tasks, a part of them replicas.
+    // Tens of thousands of tasks, some of them replicas of services.
     let mut submitted = Vec::new();
-    for id in 0..150 {
-        let team = ["red", "blue", "green"][id as usize % 3].to_owned();
-        let spec = if id < 60 { service(id, 16) } else { job(id, 250) };
-        assert_eq!(world.submit(id as usize % 3, JobSpec { team, ..spec }), Some(201));
-        submitted.push(format!("wk-{id:06}"));
+    for number in 0..150 {
+        let team = ["red", "blue", "green"][number as usize % 3].to_owned();
+        let spec = if number < 60 { service(number, 16) } else { job(number, 250) };
+        assert_eq!(world.submit(number as usize % 3, JobSpec { team, ..spec }), Some(201));
+        submitted.push(format!("wk-{number:06}"));
     }
     world.run(secs(12));
-    let count = |world: &World, ids: &[String]| ids.iter().map(|id| world.where_runs(id).len()).sum::<usize>();
+    let running_tasks = |world: &World, ids: &[String]| ids.iter().map(|id| world.where_runs(id).len()).sum::<usize>();
     let (services, arrays) = submitted.split_at(60);
-    assert_eq!((count(&world, services), count(&world, arrays)), (960, 22_500));
-    // One zone is cut off from everything; the leader and the others fall and are back.
+    assert_eq!((running_tasks(&world, services), running_tasks(&world, arrays)), (960, 22_500));
+    // One zone is partitioned from everything; all controllers crash and come back.
     let zone = ZONES[0];
-    let cut: Vec<String> = world.workers.iter().filter(|(_, w)| w.zone == zone).map(|(n, _)| n.clone()).collect();
-    world.cut.extend(cut);
-    (0..3).for_each(|n| world.crash(n));
+    let partitioned: Vec<String> =
+        world.workers.iter().filter(|(_, worker)| worker.zone == zone).map(|(name, _)| name.clone()).collect();
+    world.cut.extend(partitioned);
+    (0..3).for_each(|node| world.crash(node));
     world.run(secs(1));
-    (0..3).for_each(|n| world.start_node(n));
+    (0..3).for_each(|node| world.start_node(node));
     world.run(secs(8));
-    assert!(world.leader().is_some(), "no lead");
-    assert_eq!(world.started, 23_460, "what runs until its lease ends was given up");
-    for (n, id) in submitted.iter().enumerate().step_by(7) {
-        assert_eq!(world.status(n % 3, id).map(|s| s.0), Some(200), "{id}");
+    assert!(world.leader().is_some(), "no leader");
+    assert_eq!(world.started, 23_460, "tasks with valid leases were restarted elsewhere");
+    for (index, id) in submitted.iter().enumerate().step_by(7) {
+        assert_eq!(world.status(index % 3, id).map(|response| response.0), Some(200), "{id}");
     }
     assert!(world.most_orders <= 300, "{} direct calls at a time", world.most_orders);
-    // Its leases end: all replicas are back before all of the arrays' tasks are.
-    let (mut whole, from) = ([None, None], world.now);
+    // The zone's leases expire: all replicas run again before all tasks of the arrays do.
+    let (mut recovered_after, start) = ([None, None], world.now);
     let mut lost = 0;
-    while world.now < from + secs(60) && whole.contains(&None) {
+    while world.now < start + secs(60) && recovered_after.contains(&None) {
         world.run(Duration::from_millis(400));
-        let running = [count(&world, services), count(&world, arrays)];
+        let running = [running_tasks(&world, services), running_tasks(&world, arrays)];
         lost = lost.max(960 - running[0]);
-        for (at, running, all) in [(0, running[0], 960), (1, running[1], 22_500)] {
-            if lost > 100 && running == all {
-                whole[at].get_or_insert(world.now - from);
+        for (index, running, expected) in [(0, running[0], 960), (1, running[1], 22_500)] {
+            if lost > 100 && running == expected {
+                recovered_after[index].get_or_insert(world.now - start);
             }
         }
     }
-    let [Some(services), Some(arrays)] = whole else { panic!("not all is back: {whole:?}, {lost} lost") };
-    assert!(services <= secs(26) && services <= arrays && arrays <= secs(45), "back after {services:?}, {arrays:?}");
+    let [Some(services), Some(arrays)] = recovered_after else {
+        panic!("not all tasks recovered: {recovered_after:?}, {lost} lost")
+    };
+    assert!(
+        services <= secs(26) && services <= arrays && arrays <= secs(45),
+        "recovered after {services:?}, {arrays:?}"
+    );
 }
 
 #[test]
-fn a_leader_that_does_not_know_the_fleet_yet_or_lost_it_rents_nothing() {
-    // Found on a day with controllers cut off: each new leader rented a hundred machines at once
-    // for work that ran well, and so did one that the workers could not reach.
-    let mut world = at_work(60, 60);
+fn leader_without_reports_from_its_fleet_rents_nothing() {
+    // Guards against needless rentals after a partition of controllers: each new leader rented a
+    // hundred machines at once for tasks that were running well, and so did a leader that the
+    // workers could not reach.
+    let mut world = fleet_with_services(60, 60);
     let rentals = world.cloud.rentals;
-    let leader = world.leader().expect("a lead");
+    let leader = world.leader().expect("a leader");
     world.crash(leader);
     world.run(secs(8));
-    assert_eq!(world.cloud.rentals, rentals, "the new leader rented");
+    assert_eq!(world.cloud.rentals, rentals, "the new leader rented machines");
     world.start_node(leader);
-    let leader = world.leader().expect("a lead");
+    let leader = world.leader().expect("a leader");
     world.no_workers.insert(leader);
     world.run(secs(12));
-    assert!(world.leader().is_some_and(|new| new != leader));
-    assert_eq!(world.cloud.rentals, rentals, "a leader without its workers rented");
-    assert_eq!((at_work_on(&world, 60).1, world.started), (480, 480));
+    assert!(world.leader().is_some_and(|node| node != leader));
+    assert_eq!(world.cloud.rentals, rentals, "a leader without its workers rented machines");
+    assert_eq!((running_replicas(&world, 60).1, world.started), (480, 480));
 }
 
 #[test]
-fn four_thousand_machines_boot_lose_their_leader_and_a_zone() {
-    four_thousand_machines(Policy::default());
+fn fleet_of_4000_machines_recovers_from_losing_its_leader_and_a_zone() {
+    lose_leader_and_zone_at_4000_machines(Policy::default());
 }
 
 #[test]
-fn four_thousand_machines_boot_lose_their_leader_and_a_zone_with_failover() {
-    let world = four_thousand_machines(Policy { failover: Some(FailoverSettings::default()), ..Policy::default() });
+fn fleet_of_4000_machines_recovers_from_losing_its_leader_and_a_zone_with_failover() {
+    let world = lose_leader_and_zone_at_4000_machines(Policy {
+        failover: Some(FailoverSettings::default()),
+        ..Policy::default()
+    });
     let record = &world.store.rows["failover/zones"].0["zones"][0];
     assert_eq!((record["zone"].as_str(), record["episode"].as_u64()), (Some(ZONES[0]), Some(1)), "{record}");
 }
 
-/// Boots a fleet of about the size that is run, ends its leader and cuts a zone off.
-fn four_thousand_machines(policy: Policy) -> World {
-    // Some of the bounds are for each machine.
+/// Boots a fleet of about the size in production, crashes its leader and partitions a zone.
+fn lose_leader_and_zone_at_4000_machines(policy: Policy) -> World {
+    // Some of the bounds below derive from the number of machines.
     const MACHINES: usize = 4000;
-    let facts = Facts { max_job_bytes: 64 << 20, ..large(12_000.0, 40_000.0) };
+    let facts = Facts { max_job_bytes: 64 << 20, ..large_deployment(12_000.0, 40_000.0) };
     let mut world = World::deployed(facts, 0, Policy { headroom_share: 0.02, ..policy }, &ZONES);
     world.task_s = 300.0;
     world.check_every = 50;
     world.cloud.capacity = MACHINES as u32 + 1400;
     world.run(secs(2));
-    // Nearly as many CPUs as 4,000 machines have, a dozen tasks a machine.
+    // The tasks need nearly as many CPUs as 4,000 machines have, a dozen tasks per machine.
     let mut submitted = Vec::new();
-    for id in 0..160 {
-        let team = ["red", "blue", "green"][id as usize % 3].to_owned();
-        let spec = if id < 40 { service(id, 25) } else { JobSpec { cpus: 4.0 / 3.0, spot: false, ..job(id, 390) } };
-        assert_eq!(world.submit(id as usize % 3, JobSpec { team, ..spec }), Some(201));
-        submitted.push(format!("wk-{id:06}"));
+    for number in 0..160 {
+        let team = ["red", "blue", "green"][number as usize % 3].to_owned();
+        let spec = if number < 40 {
+            service(number, 25)
+        } else {
+            JobSpec { cpus: 4.0 / 3.0, spot: false, ..job(number, 390) }
+        };
+        assert_eq!(world.submit(number as usize % 3, JobSpec { team, ..spec }), Some(201));
+        submitted.push(format!("wk-{number:06}"));
     }
-    let count = |world: &World, ids: &[String]| ids.iter().map(|id| world.where_runs(id).len()).sum::<usize>();
+    let running_tasks = |world: &World, ids: &[String]| ids.iter().map(|id| world.where_runs(id).len()).sum::<usize>();
     let (services, arrays) = submitted.split_at(40);
-    let all = (1000, 46_800);
-    let until = world.now + secs(60);
-    while (count(&world, services), count(&world, arrays)) != all && world.now < until {
+    let expected = (1000, 46_800);
+    let deadline = world.now + secs(60);
+    while (running_tasks(&world, services), running_tasks(&world, arrays)) != expected && world.now < deadline {
         world.run(secs(1));
     }
-    assert_eq!((count(&world, services), count(&world, arrays)), all, "{} machines", world.workers.len());
+    assert_eq!(
+        (running_tasks(&world, services), running_tasks(&world, arrays)),
+        expected,
+        "{} machines",
+        world.workers.len()
+    );
     assert!((MACHINES - 100..=MACHINES + 200).contains(&world.workers.len()), "{} machines", world.workers.len());
-    // The leader ends: nothing is stopped, and all that runs is taken over.
+    // The leader crashes: nothing is stopped, and its successor takes over all running tasks.
     let started = world.started;
     let leader = world.leader().expect("a leader");
     world.crash(leader);
     world.run(secs(12));
     world.start_node(leader);
-    assert!(world.leader().is_some_and(|new| new != leader));
+    assert!(world.leader().is_some_and(|node| node != leader));
     world.run(secs(16));
-    assert_eq!((count(&world, services), count(&world, arrays)), all, "work was lost with the leader");
-    assert_eq!(world.started, started, "work was begun anew");
-    assert!(world.workers.values().all(|w| w.session == 1), "a lease ended");
-    // A zone is lost, with a third of all: the services are back first, then all.
-    let cut: Vec<String> = world.workers.iter().filter(|(_, w)| w.zone == ZONES[0]).map(|(n, _)| n.clone()).collect();
-    assert!(cut.len() > MACHINES / 4, "{} machines in the zone", cut.len());
-    world.cut.extend(cut);
-    let from = world.now;
+    assert_eq!(
+        (running_tasks(&world, services), running_tasks(&world, arrays)),
+        expected,
+        "tasks were lost with the leader"
+    );
+    assert_eq!(world.started, started, "tasks were started again");
+    assert!(world.workers.values().all(|worker| worker.session == 1), "a worker's lease expired");
+    // A zone with a third of the machines is lost: the services recover first, then all tasks.
+    let partitioned: Vec<String> =
+        world.workers.iter().filter(|(_, worker)| worker.zone == ZONES[0]).map(|(name, _)| name.clone()).collect();
+    assert!(partitioned.len() > MACHINES / 4, "{} machines in the zone", partitioned.len());
+    world.cut.extend(partitioned);
+    let start = world.now;
     world.run(secs(20));
-    let mut whole = [None, None];
-    while world.now < from + secs(120) && whole.contains(&None) {
+    let mut recovered_after = [None, None];
+    while world.now < start + secs(120) && recovered_after.contains(&None) {
         world.run(Duration::from_millis(500));
-        if count(&world, services) == all.0 && world.now > from + secs(30) {
-            whole[0].get_or_insert(world.now - from);
+        if running_tasks(&world, services) == expected.0 && world.now > start + secs(30) {
+            recovered_after[0].get_or_insert(world.now - start);
         }
-        if count(&world, arrays) == all.1 && world.now > from + secs(30) {
-            whole[1].get_or_insert(world.now - from);
+        if running_tasks(&world, arrays) == expected.1 && world.now > start + secs(30) {
+            recovered_after[1].get_or_insert(world.now - start);
         }
     }
-    let [Some(services), Some(arrays)] = whole else { panic!("not all is back: {whole:?}") };
-    assert!(services <= secs(45) && arrays <= secs(90), "back after {services:?}, {arrays:?}");
+    let [Some(services), Some(arrays)] = recovered_after else {
+        panic!("not all tasks recovered: {recovered_after:?}")
+    };
+    assert!(services <= secs(45) && arrays <= secs(90), "recovered after {services:?}, {arrays:?}");
     assert!(world.most_orders <= 300, "{} direct calls at a time", world.most_orders);
     world
 }
