--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of the state service that become lower. The stand-in fails a story that goes beyond them.
+//! Lowered limits of the state service. The fake state service fails a scenario that exceeds them.
 
 use std::collections::BTreeMap;
 
@@ -7,36 +7,40 @@
 use rushyoke_wire::job::{JobSpec, JobStatus};
 
 #[test]
-fn lower_limits_of_the_state_service_wedge_nothing() {
-    // The version in production wrote large values; from a moment on they must be small.
+fn lowered_limits_of_the_state_service_block_no_job() {
+    // The version in production wrote large values, and the lowered limits allow only small ones.
     let mut world = World::deployed(facts(0, 3), 5, Policy::default(), &["a", "b"]);
     world.task_s = 20.0;
     world.run(secs(6));
     (1..5).for_each(|id| assert_eq!(world.submit(0, service(id, 14)), Some(201)));
-    let wide = |id| JobSpec { team: "blue".into(), cpus: 0.02, memory_gb: 0.1, ..job(id, 200) };
-    (5..8).for_each(|id| assert_eq!(world.submit(0, wide(id)), Some(201)));
+    let wide_array = |id| JobSpec { team: "blue".into(), cpus: 0.02, memory_gb: 0.1, ..job(id, 200) };
+    (5..8).for_each(|id| assert_eq!(world.submit(0, wide_array(id)), Some(201)));
     world.run(secs(8));
     let (rows, rules) = (std::mem::take(&mut world.store.rows), std::mem::take(&mut world.rules));
     let largest = rows.values().map(|(value, ..)| value.to_string().len()).max();
-    assert!(largest > Some(2048), "there are large values: {largest:?}");
-    let lower = Facts { value_bytes: 2048, txn_ops: 5, ..facts(0, 3) };
-    let mut world = World::deployed(lower, 5, Policy::default(), &["a", "b"]);
+    assert!(largest > Some(2048), "no large values: {largest:?}");
+    let lower_limits = Facts { value_bytes: 2048, txn_ops: 5, ..facts(0, 3) };
+    let mut world = World::deployed(lower_limits, 5, Policy::default(), &["a", "b"]);
     world.task_s = 20.0;
     world.check_every = 3;
     world.workers.values_mut().for_each(|worker| worker.run_s = 20.0);
     (1..5).for_each(|id| drop(world.specs.insert(job_id(id), service(id, 14))));
-    (5..8).for_each(|id| drop(world.specs.insert(job_id(id), wide(id))));
+    (5..8).for_each(|id| drop(world.specs.insert(job_id(id), wide_array(id))));
     world.rules = rules;
     world.store.rows = rows.into_iter().filter(|(key, _)| key != "lead").collect();
     world.store.revision = world.store.rows.values().map(|row| row.1).max().unwrap_or_default();
     (world.store.max_ops, world.store.max_value) = (5, 2048);
     world.run(secs(50));
     assert_eq!(world.submit(1, JobSpec { dependencies: vec![job_id(5), job_id(6)], ..job(10, 5) }), Some(201));
-    let questions: Vec<String> = (1..40).map(job_id).collect();
-    assert_eq!(world.ask_all(0, &questions).len(), 39, "more than one comparison takes");
+    let queried: Vec<String> = (1..40).map(job_id).collect();
+    assert_eq!(
+        world.ask_all(0, &queried).len(),
+        39,
+        "some of the queries, too many for one comparison, got no response"
+    );
     assert!(world.cancel(1, &job_id(4)).is_some());
     for _ in 0..4 {
-        let leader = world.leader().expect("a lead");
+        let leader = world.leader().expect("a leader");
         world.crash(leader);
         world.run(secs(6));
         world.start_node(leader);
@@ -50,26 +54,26 @@
 }
 
 #[test]
-fn segments_whose_pages_do_not_fit_are_written_again_and_deleted() {
-    // Half of each page's tasks run on, so that no page fits, and every segment is half empty.
-    let lower = Facts { value_bytes: 1024, txn_ops: 5, ..facts(0, 3) };
+fn segments_whose_pages_do_not_fit_are_rewritten_and_deleted() {
+    // Half of each page's tasks keep running, so that no page fits, and every segment is half empty.
+    let lower_limits = Facts { value_bytes: 1024, txn_ops: 5, ..facts(0, 3) };
     let policy = Policy { speculation: false, ..Policy::default() };
-    let mut world = World::deployed(lower, 4, policy, &["a"]);
+    let mut world = World::deployed(lower_limits, 4, policy, &["a"]);
     (world.store.max_ops, world.store.max_value) = (5, 1024);
-    // As after a long life: attempts have many digits.
+    // Attempts have many digits, as in a deployment that has run for long.
     world.store.revision = 1_000_000_000;
     world.check_every = 5;
     world.workers.values_mut().for_each(|worker| worker.run_s = 900.0);
     world.run(secs(6));
-    let small = |id| JobSpec { cpus: 0.02, memory_gb: 0.02, ..job(id, 80) };
-    (1..25).for_each(|id| assert_eq!(world.submit(0, small(id)), Some(201)));
+    let small_tasks = |id| JobSpec { cpus: 0.02, memory_gb: 0.02, ..job(id, 80) };
+    (1..25).for_each(|id| assert_eq!(world.submit(0, small_tasks(id)), Some(201)));
     world.run(secs(60));
     let segments = |world: &World| world.store.rows.keys().filter(|key| key.starts_with("log/")).count();
-    let before = segments(&world);
-    assert!(before > 170, "{before} segments");
+    let segments_before = segments(&world);
+    assert!(segments_before > 170, "{segments_before} segments");
     for worker in world.workers.values_mut() {
         for task in &mut worker.tasks {
-            let (_, number) = task.name.rsplit_once('/').expect("a task's name");
+            let (_, number) = task.name.rsplit_once('/').expect("a task's name ends with its number");
             if number.parse::<u32>().is_ok_and(|number| number % 2 == 1) {
                 task.until = world.now;
             }
@@ -77,22 +81,22 @@
     }
     world.run(secs(90));
     assert_eq!(world.rules.finished(&job_id(1)), 40);
-    let after = segments(&world);
-    assert!(after < 150, "{before} segments, then {after}");
-    // A new leader finds every task where it is.
+    let segments_after = segments(&world);
+    assert!(segments_after < 150, "{segments_before} segments, then {segments_after}");
+    // A new leader finds every task on its machine.
     let leader = world.leader().expect("a leader");
     world.crash(leader);
     world.run(secs(20));
-    assert_eq!(world.started, 24 * 80, "nothing began twice");
+    assert_eq!(world.started, 24 * 80, "a task was started twice");
     assert_eq!(world.where_runs(&job_id(7)).len(), 40);
 }
 
 #[test]
-fn a_segment_that_is_nearly_full_keeps_no_place_waiting() {
-    // Found on loopback: what fitted into the last segment to the byte, but not with the margin that is kept
-    // for one more task, was not written, and no new segment begun, until something else changed.
+fn nearly_full_segment_delays_no_placement() {
+    // Guards against a placement that fits into the last segment to the byte, but not with the margin that
+    // is kept for one more task: it was not written, and no new segment was begun, until something else changed.
     let team = Team { cpus: 400.0, cpus_max: 400.0, gpus: 0.0, gpus_max: 0.0 };
-    let mut nearly_full = 0;
+    let mut with_second_segment = 0;
     for tasks in 155..175 {
         let facts = Facts { teams: BTreeMap::from([("red".into(), team.clone())]), ..facts(0, 3) };
         let mut world = World::deployed(facts, 12, Policy { service_reserve: 0.0, ..Policy::default() }, &["a"]);
@@ -101,8 +105,8 @@
         world.run(secs(6));
         assert_eq!(world.submit(0, JobSpec { spot: false, ..job(1, tasks) }), Some(201));
         world.run(secs(8));
-        assert_eq!(world.where_runs(&job_id(1)).len() as u32, tasks, "some of {tasks} tasks never start");
-        nearly_full += usize::from(world.store.rows.keys().filter(|key| key.starts_with("log/")).count() > 1);
+        assert_eq!(world.where_runs(&job_id(1)).len() as u32, tasks, "some of {tasks} tasks did not start");
+        with_second_segment += usize::from(world.store.rows.keys().filter(|key| key.starts_with("log/")).count() > 1);
     }
-    assert!((1..20).contains(&nearly_full), "{nearly_full} jobs of 20 need a second segment");
+    assert!((1..20).contains(&with_second_segment), "{with_second_segment} of 20 jobs needed a second segment");
 }
--- a/crates/core/tests/random_faults.rs
+++ b/crates/core/tests/random_faults.rs
@@ -1,5 +1,5 @@
-//! Drawn mixes of troubles, for the pairs that nobody named. The seeds are fixed; to run others by
-//! hand: `MIX_SEEDS=100..400 cargo test --release -p rushyoke-core --test random_faults`.
+//! Random combinations of faults, for the pairs that no other scenario covers. The seeds are fixed; to run
+//! others: `MIX_SEEDS=100..400 cargo test --release -p rushyoke-core --test random_faults`.
 
 use std::time::Duration;
 
@@ -9,19 +9,20 @@
 use rushyoke_testkit::{World, job, secs, service};
 use rushyoke_wire::job::{JobStatus, Kind};
 
-const SEEDS: std::ops::Range<u64> = 1..13;
+const DEFAULT_SEEDS: std::ops::Range<u64> = 1..13;
 
+/// Returns the seeds of `MIX_SEEDS`, or the default ones.
 fn seeds() -> std::ops::Range<u64> {
-    let Ok(text) = std::env::var("MIX_SEEDS") else { return SEEDS };
-    let (from, to) = text.split_once("..").expect("MIX_SEEDS is like 100..400");
-    from.parse().expect("a number")..to.parse().expect("a number")
+    let Ok(text) = std::env::var("MIX_SEEDS") else { return DEFAULT_SEEDS };
+    let (from, to) = text.split_once("..").expect("MIX_SEEDS is a range such as 100..400");
+    from.parse().expect("MIX_SEEDS has numbers")..to.parse().expect("MIX_SEEDS has numbers")
 }
 
-/// Draws one trouble and brings it about.
-fn trouble(world: &mut World, rng: &mut StdRng) {
+/// Draws a fault and injects it.
+fn inject_random_fault(world: &mut World, rng: &mut StdRng) {
     let machines: Vec<String> = world.workers.keys().cloned().collect();
-    let drawn = rng.random_range(0..=machines.len());
-    let machine = machines.get(drawn).cloned().unwrap_or_default();
+    let index = rng.random_range(0..=machines.len());
+    let machine = machines.get(index).cloned().unwrap_or_default();
     let node = rng.random_range(0..3);
     let leader = world.leader().unwrap_or(node);
     let until = world.now + secs(rng.random_range(2..22));
@@ -55,70 +56,73 @@
     }
 }
 
-/// Users ask at all nodes, and repeat what they submitted.
-fn close_looks(world: &mut World, rng: &mut StdRng, most: u32) {
+/// Users query jobs at all nodes, and submit them again.
+fn query_and_resubmit(world: &mut World, rng: &mut StdRng, last_job: u32) {
     for _ in 0..4 {
-        let id = rng.random_range(1..=most);
-        (0..3).for_each(|node| world.ask_status(node, &format!("wk-{id:06}")));
-        if let Some(spec) = world.specs.get(&format!("wk-{id:06}")).cloned() {
+        let number = rng.random_range(1..=last_job);
+        (0..3).for_each(|node| world.ask_status(node, &format!("wk-{number:06}")));
+        if let Some(spec) = world.specs.get(&format!("wk-{number:06}")).cloned() {
             world.ask_submit(rng.random_range(0..3), spec);
         }
     }
 }
 
-/// Whether a job, or one that it needs directly or through others, is one of these.
-fn needs_one_of(world: &World, id: &str, ids: &[u32]) -> bool {
-    let listed = ids.iter().any(|listed| format!("wk-{listed:06}") == id);
-    listed || world.specs[id].dependencies.iter().any(|dep| needs_one_of(world, dep, ids))
+/// Whether a job, or one that it depends on directly or through others, is one of these.
+fn is_or_depends_on(world: &World, id: &str, numbers: &[u32]) -> bool {
+    let is_listed = numbers.iter().any(|listed| format!("wk-{listed:06}") == id);
+    is_listed || world.specs[id].dependencies.iter().any(|dependency| is_or_depends_on(world, dependency, numbers))
 }
 
-fn mix(seed: u64) {
+/// Runs nine rounds of submissions, random faults and cancellations, and checks how every job ends.
+fn run_scenario(seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut world = World::with(5, Policy::default(), &["a", "b"]);
     world.cloud.capacity = 8;
     world.run(secs(6));
     let mut submitted: Vec<(u32, u32)> = Vec::new();
-    let mut id = 0;
+    let mut number = 0;
     let mut cancelled: Vec<u32> = Vec::new();
     for round in 0..9 {
         for _ in 0..2 {
-            id += 1;
+            number += 1;
             let tasks = rng.random_range(1..=12);
-            let mut spec = if rng.random_range(0..3) == 0 { service(id, tasks.min(4)) } else { job(id, tasks) };
+            let mut spec = if rng.random_range(0..3) == 0 { service(number, tasks.min(4)) } else { job(number, tasks) };
             spec.team = ["red", "blue"][rng.random_range(0..2)].into();
             spec.spread = rng.random_range(0..3) == 0;
-            // Some await others that were accepted, be they over or not.
-            let awaited = if rng.random_range(0..3) == 0 { rng.random_range(1..4) } else { 0 };
-            for _ in 0..awaited {
-                let dep = submitted.get(rng.random_range(0..=submitted.len())).map(|(dep, _)| format!("wk-{dep:06}"));
-                spec.dependencies.extend(dep.filter(|dep| world.specs[dep].kind == Kind::Array));
+            // Some jobs depend on accepted arrays, whether these have ended or not.
+            let dependency_count = if rng.random_range(0..3) == 0 { rng.random_range(1..4) } else { 0 };
+            for _ in 0..dependency_count {
+                let dependency = submitted
+                    .get(rng.random_range(0..=submitted.len()))
+                    .map(|(dependency, _)| format!("wk-{dependency:06}"));
+                spec.dependencies.extend(dependency.filter(|dependency| world.specs[dependency].kind == Kind::Array));
             }
             if matches!(world.submit(rng.random_range(0..3), spec), Some(200 | 201)) {
-                submitted.push((id, tasks));
+                submitted.push((number, tasks));
             }
         }
-        trouble(&mut world, &mut rng);
-        // A process falls, and is back in a moment, often amid an election.
+        inject_random_fault(&mut world, &mut rng);
+        // A controller crashes and restarts soon, often during an election.
         let node = rng.random_range(0..3);
-        let falls = if rng.random_range(0..2) == 0 { world.leader().unwrap_or(node) } else { node };
+        let crashed = if rng.random_range(0..2) == 0 { world.leader().unwrap_or(node) } else { node };
         if rng.random_range(0..3) > 0 {
-            world.crash(falls);
+            world.crash(crashed);
             world.run(Duration::from_millis(rng.random_range(50..2550)));
-            world.start_node(falls);
+            world.start_node(crashed);
         }
-        close_looks(&mut world, &mut rng, id);
+        query_and_resubmit(&mut world, &mut rng, number);
         world.run(secs(rng.random_range(1..4)));
         if rng.random_range(0..2) == 0 {
-            trouble(&mut world, &mut rng);
+            inject_random_fault(&mut world, &mut rng);
         }
         world.run(secs(rng.random_range(1..12)));
         if round % 3 == 2 || rng.random_range(0..4) == 0 {
-            if let Some((id, _)) = submitted.get(rng.random_range(0..=submitted.len())).copied() {
-                // Without an answer it may have been carried out all the same.
-                world.cancel(rng.random_range(0..3), &format!("wk-{id:06}"));
-                cancelled.push(id);
+            if let Some((number, _)) = submitted.get(rng.random_range(0..=submitted.len())).copied() {
+                // Without a response, the cancellation may still have been carried out.
+                world.cancel(rng.random_range(0..3), &format!("wk-{number:06}"));
+                cancelled.push(number);
             }
-            close_looks(&mut world, &mut rng, id);
+            query_and_resubmit(&mut world, &mut rng, number);
         }
         if round % 3 == 2 {
             world.calm();
@@ -126,27 +130,27 @@
     }
     world.calm();
     world.check_served();
-    for (id, tasks) in submitted {
-        let id_name = format!("wk-{id:06}");
+    for (number, tasks) in submitted {
+        let id = format!("wk-{number:06}");
         for node in 0..3 {
-            let (status, view) = world.status(node, &id_name).expect("an answer");
-            assert_eq!(status, 200, "seed {seed}: {id_name} at node {node}");
-            let state = view.map(|v| v.state).expect("a state");
-            let running = world.where_runs(&id_name).len() as u32;
-            let fine = match state {
+            let (status, view) = world.status(node, &id).expect("a response");
+            assert_eq!(status, 200, "seed {seed}: {id} at node {node}");
+            let state = view.map(|view| view.state).expect("a state");
+            let running = world.where_runs(&id).len() as u32;
+            let is_consistent = match state {
                 JobStatus::Done => running == 0,
-                JobStatus::Cancelled => running == 0 && needs_one_of(&world, &id_name, &cancelled),
+                JobStatus::Cancelled => running == 0 && is_or_depends_on(&world, &id, &cancelled),
                 _ => running == tasks.min(4),
             };
-            assert!(fine, "seed {seed}: {id_name} is {state:?} with {running} of {tasks} running");
+            assert!(is_consistent, "seed {seed}: {id} is {state:?} with {running} of {tasks} running");
         }
     }
 }
 
 #[test]
-fn drawn_mixes_of_troubles_break_no_rule_and_forget_no_job() {
+fn random_faults_break_no_rule_and_lose_no_job() {
     for seed in seeds() {
         println!("seed {seed}");
-        mix(seed);
+        run_scenario(seed);
     }
 }
