--- a/crates/core/tests/dependencies.rs
+++ b/crates/core/tests/dependencies.rs
@@ -1,6 +1,7 @@
-//! Jobs that await others while things fail. The world checks in every story that no task begins
-//! before all that its job awaits is done (`too_early`), and that no job is called queued or running
-//! for longer than `cancel_s` after one that it needs was cancelled (`orphaned`).
+//! Jobs with dependencies during faults. In every scenario the simulated world checks that no task
+//! starts before all dependencies of its job are done (`too_early`), and that no job is reported as
+//! queued or running for longer than `cancel_s` after a job that it depends on, directly or through
+//! others, was cancelled (`orphaned`).
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,61 +10,61 @@
 use rushyoke_testkit::{Simulation, all_in_state, dependent_job, facts, job_id, millis, secs, service};
 use rushyoke_wire::job::{JobSpec, JobStatus, Priority};
 
-/// The jobs of a story: an id, a number of tasks and what it awaits.
-type Shape = &'static [(u32, u32, &'static [u32])];
+/// The jobs of a scenario: the number, the count of tasks and the dependencies of each.
+type JobGraph = &'static [(u32, u32, &'static [u32])];
 
-const CHAIN: Shape = &[(1, 3, &[]), (2, 2, &[1]), (3, 2, &[2]), (4, 1, &[3])];
-const DIAMOND: Shape = &[(1, 3, &[]), (2, 2, &[1]), (3, 4, &[1]), (4, 2, &[2, 3])];
+const CHAIN: JobGraph = &[(1, 3, &[]), (2, 2, &[1]), (3, 2, &[2]), (4, 1, &[3])];
+const DIAMOND: JobGraph = &[(1, 3, &[]), (2, 2, &[1]), (3, 4, &[1]), (4, 2, &[2, 3])];
 
-fn submit(simulation: &mut Simulation, shape: Shape) {
-    for (n, (number, tasks, awaits)) in shape.iter().enumerate() {
-        assert_eq!(simulation.submit(n % 3, dependent_job(*number, *tasks, awaits)), Some(201));
+fn submit_graph(simulation: &mut Simulation, graph: JobGraph) {
+    for (index, (number, tasks, dependencies)) in graph.iter().enumerate() {
+        assert_eq!(simulation.submit(index % 3, dependent_job(*number, *tasks, dependencies)), Some(201));
     }
 }
 
-/// Whether the job's end is durable as done.
+/// Whether the state service records the job as done.
 fn is_recorded_done(simulation: &Simulation, number: u32) -> bool {
     simulation.store.rows.get(&format!("job/{}", job_id(number))).is_some_and(|row| row.0["state"] == "done")
 }
 
-fn run_until(simulation: &mut Simulation, most: Duration, mut reached: impl FnMut(&Simulation) -> bool) {
-    let end = simulation.now + most;
-    while !reached(simulation) {
-        assert!(simulation.now < end, "it was not reached in {most:?}");
+fn run_until(simulation: &mut Simulation, timeout: Duration, mut condition: impl FnMut(&Simulation) -> bool) {
+    let deadline = simulation.now + timeout;
+    while !condition(simulation) {
+        assert!(simulation.now < deadline, "the condition did not hold within {timeout:?}");
         simulation.run(millis(10));
     }
 }
 
-/// Task-starts of the jobs: whether any of their tasks runs.
-fn none_runs(simulation: &Simulation, jobs: std::ops::RangeInclusive<u32>) -> bool {
+/// Whether no task of these jobs runs.
+fn none_running(simulation: &Simulation, jobs: std::ops::RangeInclusive<u32>) -> bool {
     jobs.into_iter().all(|number| simulation.running_tasks(&job_id(number)).is_empty())
 }
 
 #[test]
-fn the_leader_ends_between_the_end_of_a_dependency_and_the_start_of_its_dependents() {
-    for shape in [CHAIN, DIAMOND] {
-        for later in [0, 10, 30, 60, 120] {
+fn leader_crashes_between_the_end_of_a_dependency_and_the_start_of_its_dependents() {
+    for graph in [CHAIN, DIAMOND] {
+        for delay_ms in [0, 10, 30, 60, 120] {
             let (mut simulation, leader) = Simulation::with_short_tasks();
-            submit(&mut simulation, shape);
+            submit_graph(&mut simulation, graph);
             run_until(&mut simulation, secs(30), |simulation| is_recorded_done(simulation, 1));
-            simulation.run(millis(later));
-            assert!(none_runs(&simulation, 2..=3), "{later}: no dependent has begun");
+            simulation.run(millis(delay_ms));
+            assert!(none_running(&simulation, 2..=3), "{delay_ms} ms: a dependent started before the crash");
             simulation.crash_node(leader);
             simulation.run(secs(6));
             simulation.start_node(leader);
             simulation.run(secs(40));
-            assert!(simulation.terms.len() > 1, "{later}: another node led");
-            assert_eq!(simulation.job_states(leader, 1..=4), all_in_state(JobStatus::Done, 4), "{later}");
+            assert!(simulation.terms.len() > 1, "{delay_ms} ms: no other node led");
+            assert_eq!(simulation.job_states(leader, 1..=4), all_in_state(JobStatus::Done, 4), "{delay_ms} ms");
         }
     }
 }
 
 #[test]
-fn the_transaction_that_ends_a_dependency_is_not_answered() {
-    for shape in [CHAIN, DIAMOND] {
+fn transaction_that_records_the_end_of_a_dependency_gets_no_response() {
+    for graph in [CHAIN, DIAMOND] {
         for late in [false, true] {
             let (mut simulation, leader) = Simulation::with_short_tasks();
-            submit(&mut simulation, shape);
+            submit_graph(&mut simulation, graph);
             run_until(&mut simulation, secs(30), |simulation| simulation.checker.finished_tasks(&job_id(1)) == 3);
             if late {
                 simulation.timed_out_txns_until.insert(leader, simulation.now + secs(4));
@@ -71,128 +72,129 @@
                 simulation.lost_txn_responses.insert(leader);
             }
             simulation.run(secs(3));
-            let known = is_recorded_done(&simulation, 1);
-            assert_eq!(known, !late, "carried out at once, or not yet");
-            assert!(none_runs(&simulation, 2..=3), "its end is not known to be durable");
+            let recorded = is_recorded_done(&simulation, 1);
+            assert_eq!(recorded, !late, "the transaction must be applied at once, unless it is held back");
+            assert!(none_running(&simulation, 2..=3), "a dependent started before the end was known to be durable");
             simulation.run(secs(2));
             simulation.clear_faults();
             simulation.run(secs(45));
             assert!(
-                if late { simulation.late_commits > 0 } else { simulation.commits_without_response > 0 },
-                "an answer was missing"
-            );
+                if late { simulation.late_commits > 0 } else { simulation.commits_without_response > 0 }, "no response was lost or late");
             assert_eq!(simulation.job_states(leader, 1..=4), all_in_state(JobStatus::Done, 4), "late: {late}");
         }
     }
 }
 
 #[test]
-fn a_root_is_cancelled_while_the_old_leader_is_refused_and_then_nobody_is_served() {
-    for shape in [CHAIN, DIAMOND] {
-        for wait in [0, 1000, 2500] {
+fn root_is_cancelled_while_the_store_refuses_the_leader_before_an_outage() {
+    for graph in [CHAIN, DIAMOND] {
+        for delay_ms in [0, 1000, 2500] {
             let (mut simulation, leader) = Simulation::with_short_tasks();
-            // One task of the root ends during the outage, the others would run on for long after it.
+            // One task of the root ends during the outage; the others would run for long after it.
             simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 120.0);
-            submit(&mut simulation, shape);
+            submit_graph(&mut simulation, graph);
             simulation.run(secs(2));
             assert_eq!(simulation.running_tasks(&job_id(1)).len(), 3);
-            let first = simulation.workers.values_mut().flat_map(|worker| &mut worker.tasks).next();
-            first.expect("it runs").state_ends_at = simulation.now + secs(8);
+            let first_task = simulation.workers.values_mut().flat_map(|worker| &mut worker.tasks).next();
+            first_task.expect("a task is running").state_ends_at = simulation.now + secs(8);
             let token = simulation.leader_token(leader);
             simulation.partitioned_from_store.insert(leader);
-            simulation.run(millis(wait));
-            let told = simulation.cancel((leader + 1) % 3, &job_id(1)).and_then(|(_, view)| view);
-            assert_eq!(told.map(|view| view.state), Some(JobStatus::Cancelled));
+            simulation.run(millis(delay_ms));
+            let view = simulation.cancel((leader + 1) % 3, &job_id(1)).and_then(|(_, view)| view);
+            assert_eq!(view.map(|view| view.state), Some(JobStatus::Cancelled));
             simulation.store.outage = true;
-            // Its workers go on reporting to it.
-            let mut reported = 0;
+            // The workers keep reporting to the old leader.
+            let mut seconds_led = 0;
             for _ in 0..45 {
                 simulation.run(secs(1));
-                reported += u32::from(simulation.leader_token(leader) == token);
-                assert!(none_runs(&simulation, 2..=4), "no descendant runs");
+                seconds_led += u32::from(simulation.leader_token(leader) == token);
+                assert!(none_running(&simulation, 2..=4), "a descendant of the cancelled job runs");
             }
-            assert!(wait > 1000 || reported > 0, "it went on leading for a while");
-            assert!(wait > 1000 || simulation.checker.finished_tasks(&job_id(1)) == 1, "it saw a task of the root end");
+            assert!(delay_ms > 1000 || seconds_led > 0, "the leader lost its term at once");
+            assert!(delay_ms > 1000 || simulation.checker.finished_tasks(&job_id(1)) == 1, "no task of the root ended");
             simulation.clear_faults();
             simulation.run(secs(15));
             for node in 0..3 {
                 assert_eq!(simulation.job_states(node, 1..=4), all_in_state(JobStatus::Cancelled, 4));
             }
-            assert!(simulation.store.rows.keys().all(|key| !key.starts_with("live/")), "all is closed");
+            assert!(simulation.store.rows.keys().all(|key| !key.starts_with("live/")),
+                "records of cancelled jobs are still live"
+            );
         }
     }
 }
 
 #[test]
-fn ends_and_cancellations_meet_in_the_same_instant_on_different_nodes() {
-    let mut ends = BTreeSet::new();
-    for shape in [CHAIN, DIAMOND] {
-        for moment in 0..12 {
-            for slow in [false, true] {
+fn job_end_and_cancellation_race_on_different_nodes() {
+    let mut outcomes = BTreeSet::new();
+    for graph in [CHAIN, DIAMOND] {
+        for step in 0..12 {
+            for slow_leader in [false, true] {
                 let (mut simulation, leader) = Simulation::with_short_tasks();
-                submit(&mut simulation, shape);
+                submit_graph(&mut simulation, graph);
                 run_until(&mut simulation, secs(30), |simulation| simulation.checker.finished_tasks(&job_id(1)) == 3);
-                if slow {
-                    // The leader's transaction is under way while the other node's is carried out.
+                if slow_leader {
+                    // The leader's transaction is in flight while the other node's is carried out.
                     simulation.slow_txns_until.insert(leader, simulation.now + millis(1200));
                 }
-                simulation.run(millis(if slow { 80 } else { 40 } * moment));
+                simulation.run(millis(if slow_leader { 80 } else { 40 } * step));
                 simulation.send_status_request(leader, &job_id(4));
-                let told =
-                    simulation.cancel((leader + 1) % 3, &job_id(1)).and_then(|(_, view)| view).expect("an answer");
+                let view =
+                    simulation.cancel((leader + 1) % 3, &job_id(1)).and_then(|(_, view)| view).expect("a response");
                 (0..3)
                     .for_each(|node| (1..=4).for_each(|number| simulation.send_status_request(node, &job_id(number))));
                 simulation.run(secs(2));
                 simulation.clear_faults();
                 simulation.run(secs(45));
                 for node in 0..3 {
-                    assert_eq!(simulation.job_states(node, 1..=4), all_in_state(told.state, 4), "{moment}");
+                    assert_eq!(simulation.job_states(node, 1..=4), all_in_state(view.state, 4), "step {step}");
                 }
-                ends.insert((slow, format!("{:?}", told.state)));
+                outcomes.insert((slow_leader, format!("{:?}", view.state)));
             }
         }
     }
-    assert!(ends.len() >= 3, "some were cancelled in time and some not: {ends:?}");
+    assert!(outcomes.len() >= 3, "the cancellation must win in some runs and lose in others: {outcomes:?}");
 }
 
-/// Settings of a deployment whose state service will take less.
+/// Facts of a deployment whose state service accepts smaller values and transactions.
 fn lower_limits() -> Facts {
     Facts { value_bytes: 2048, txn_ops: 5, ..facts(0, 3) }
 }
 
-/// Jobs with large values in the state service, whose leader knows nothing of coming limits.
-fn with_large_values() -> Simulation {
+/// Returns a world with large values in the state service, whose nodes do not know the coming limits.
+fn world_with_large_values() -> Simulation {
     let mut simulation = Simulation::with_elected_leader(6);
     simulation.steps_per_check = 3;
     simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 12.0);
     simulation.task_duration_s = 12.0;
     assert_eq!(simulation.submit(0, service(90, 14)), Some(201));
-    (1..4).for_each(|number| assert_eq!(simulation.submit(0, wide(number)), Some(201)));
+    (1..4).for_each(|number| assert_eq!(simulation.submit(0, wide_array(number)), Some(201)));
     assert_eq!(simulation.submit(1, dependent_job(4, 2, &[1, 2, 3])), Some(201));
     simulation.run(secs(5));
-    let largest = largest_value(&simulation);
-    assert!(largest > Some(2048), "there are large values: {largest:?}");
+    let largest = largest_value_len(&simulation);
+    assert!(largest > Some(2048), "no large values: {largest:?}");
     simulation
 }
 
-/// A wide array of another team: its places take much of a value.
-fn wide(number: u32) -> JobSpec {
+/// A wide array of another team, whose placements fill much of a value.
+fn wide_array(number: u32) -> JobSpec {
     JobSpec { team: "blue".into(), cpus: 0.02, memory_gb: 0.1, ..dependent_job(number, 200, &[]) }
 }
 
-/// Of what is kept while jobs are not over.
-fn largest_value(simulation: &Simulation) -> Option<usize> {
+/// Returns the length of the largest value that is kept for unfinished jobs.
+fn largest_value_len(simulation: &Simulation) -> Option<usize> {
     let kept = |key: &str| ["log/", "task/", "live/"].into_iter().any(|prefix| key.starts_with(prefix));
     let rows = simulation.store.rows.iter().filter(|(key, _)| kept(key));
     rows.map(|(_, row)| row.0.to_string().len()).max()
 }
 
-fn limits_come(simulation: &mut Simulation) {
+/// Makes the state service enforce the lower limits.
+fn enforce_lower_limits(simulation: &mut Simulation) {
     (simulation.store.max_value_bytes, simulation.store.max_txn_writes) = (2048, 5);
 }
 
-/// Each node ends and is back with the new settings, one after the other.
-fn roll_out(simulation: &mut Simulation, pause: Duration) {
+/// Restarts the nodes with the lower limits, one after the other.
+fn roll_out_lower_limits(simulation: &mut Simulation, pause: Duration) {
     for node in 0..3 {
         simulation.facts_overrides.insert(node, lower_limits());
         simulation.crash_node(node);
@@ -203,52 +205,52 @@
 }
 
 #[test]
-fn limits_come_in_the_midst_of_a_takeover() {
-    for later in [0, 900, 1500, 2500] {
-        let mut simulation = with_large_values();
-        roll_out(&mut simulation, secs(1));
+fn lower_limits_take_effect_during_a_takeover() {
+    for delay_ms in [0, 900, 1500, 2500] {
+        let mut simulation = world_with_large_values();
+        roll_out_lower_limits(&mut simulation, secs(1));
         let leader = simulation.leader().unwrap_or_default();
         simulation.crash_node(leader);
-        simulation.run(millis(later));
-        limits_come(&mut simulation);
+        simulation.run(millis(delay_ms));
+        enforce_lower_limits(&mut simulation);
         simulation.run(secs(4));
         simulation.start_node(leader);
-        assert_eq!(simulation.submit((leader + 1) % 3, wide(8)), Some(201));
+        assert_eq!(simulation.submit((leader + 1) % 3, wide_array(8)), Some(201));
         simulation.run(secs(60));
         assert!(simulation.terms.len() > 1);
         assert_eq!(simulation.job_states(leader, 8..=8), all_in_state(JobStatus::Done, 1));
-        assert_eq!(simulation.job_states(leader, 1..=4), all_in_state(JobStatus::Done, 4), "{later}");
+        assert_eq!(simulation.job_states(leader, 1..=4), all_in_state(JobStatus::Done, 4), "{delay_ms} ms");
         assert_eq!(simulation.running_tasks(&job_id(90)).len(), 14);
-        // What stands in large values is never written as it is, and they go with what they name.
+        // Large values are never rewritten as they are, and are deleted with the jobs that they name.
         assert!(simulation.cancel(leader, &job_id(90)).is_some());
         simulation.run(secs(8));
         assert_eq!(simulation.submit(leader, dependent_job(7, 1, &[])), Some(201));
         simulation.run(secs(20));
-        assert!(largest_value(&simulation) <= Some(2048), "large ones go with what they name");
+        assert!(largest_value_len(&simulation) <= Some(2048), "large values outlived the jobs that they name");
     }
 }
 
 #[test]
-fn limits_come_with_the_end_of_a_rollout() {
-    let mut simulation = with_large_values();
+fn lower_limits_take_effect_at_the_end_of_a_rollout() {
+    let mut simulation = world_with_large_values();
     let types: Vec<String> = (0..200).map(|n| format!("type-of-machine-{n:04}")).chain(["m16".into()]).collect();
     let large = JobSpec { types: Some(types), ..dependent_job(5, 1, &[4]) };
     assert_eq!(simulation.submit(0, large), Some(201));
     assert_eq!(simulation.submit(0, dependent_job(6, 1, &[5])), Some(201));
-    // Old settings are back once more before their turn, and lead in between.
+    // Nodes with the old settings restart once more before the rollout, and lead in between.
     for node in [0, 1] {
         simulation.crash_node(node);
         simulation.run(millis(200));
         simulation.start_node(node);
         simulation.run(secs(2));
     }
-    roll_out(&mut simulation, millis(100));
-    limits_come(&mut simulation);
-    // Its description is larger than what may be written now.
+    roll_out_lower_limits(&mut simulation, millis(100));
+    enforce_lower_limits(&mut simulation);
+    // The spec of the job is larger than a value may be now.
     assert_eq!(simulation.cancel(1, &job_id(5)).map(|(status, _)| status), Some(200));
     let written = simulation.store.rows.get("live/wk-000005").map(|row| row.0.to_string().len());
     assert!(written < Some(2048), "{written:?}");
-    assert_eq!(simulation.submit(2, wide(8)), Some(201));
+    assert_eq!(simulation.submit(2, wide_array(8)), Some(201));
     simulation.run(secs(70));
     assert_eq!(simulation.job_states(1, 8..=8), all_in_state(JobStatus::Done, 1));
     assert_eq!(simulation.job_states(0, 5..=6), all_in_state(JobStatus::Cancelled, 2));
@@ -258,7 +260,7 @@
 }
 
 #[test]
-fn limits_come_in_the_midst_of_a_large_cancellation() {
+fn lower_limits_take_effect_during_a_large_cancellation() {
     let mut simulation = Simulation::with_facts(lower_limits(), 4, Policy::default(), &["a"]);
     simulation.steps_per_check = 5;
     simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 300.0);
@@ -272,17 +274,20 @@
     assert_eq!(simulation.checker.accepted_jobs().len(), 600);
     assert!(simulation.cancel(1, &job_id(1)).is_some());
     simulation.run(millis(500));
-    limits_come(&mut simulation);
-    assert_eq!(simulation.submit(2, wide(601)), Some(201));
-    let live = |simulation: &Simulation| simulation.store.rows.keys().filter(|key| key.starts_with("live/")).count();
-    assert!(live(&simulation) > 300, "most records are still to be closed");
-    let asked: Vec<String> = (1..=500).map(job_id).collect();
+    enforce_lower_limits(&mut simulation);
+    assert_eq!(simulation.submit(2, wide_array(601)), Some(201));
+    let live_records = |simulation: &Simulation| simulation.store.rows.keys().filter(|key| key.starts_with("live/")).count();
+    assert!(live_records(&simulation) > 300, "most records are closed already");
+    let ids: Vec<String> = (1..=500).map(job_id).collect();
     for node in 0..3 {
-        let answered = simulation.statuses_of_all(node, &asked);
-        assert!(answered.iter().filter(|status| **status == 200).count() > 450, "node {node} answers");
+        let statuses = simulation.statuses_of_all(node, &ids);
+        assert!(
+            statuses.iter().filter(|status| **status == 200).count() > 450,
+            "node {node} left too many requests without a response"
+        );
     }
     simulation.run(secs(60));
-    assert_eq!(live(&simulation), 1, "all but the job that was not cancelled are closed");
+    assert_eq!(live_records(&simulation), 1, "only the job that was not cancelled has a live record");
     assert_eq!(simulation.running_tasks(&job_id(601)).len(), 200);
     for node in 0..3 {
         assert_eq!(simulation.job_states(node, 595..=600), all_in_state(JobStatus::Cancelled, 6));
@@ -290,9 +295,9 @@
 }
 
 #[test]
-fn a_deep_and_a_wide_family_is_cancelled_as_a_whole_on_every_node() {
-    // More ancestors than one transaction compares, and thousands of descendants. Nobody leads when
-    // they are asked about, so that all is derived from the root's record.
+fn deep_and_wide_descendants_of_a_cancelled_job_are_cancelled_on_every_node() {
+    // There are more ancestors than one transaction compares, and thousands of descendants. No node
+    // leads when they are queried, so every state is derived from the root's record.
     let (mut simulation, leader) = Simulation::with_short_tasks();
     simulation.steps_per_check = 20;
     simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 900.0);
@@ -311,17 +316,20 @@
     assert!(simulation.cancel(node, &job_id(2)).is_some());
     simulation.run(millis(100));
     (0..3).filter(|other| *other != node).for_each(|other| simulation.crash_node(other));
-    for asked in [node, leader] {
-        simulation.start_node(asked);
-        run_until(&mut simulation, secs(25), |simulation| simulation.leader_token(asked).is_none());
+    for queried in [node, leader] {
+        simulation.start_node(queried);
+        run_until(&mut simulation, secs(25), |simulation| simulation.leader_token(queried).is_none());
         for number in [400, 399, 300, 2000, 401, 1234] {
-            let mut tries = 0;
-            while simulation.job_state(asked, &job_id(number)) != Some(JobStatus::Cancelled) {
-                tries += 1;
-                assert!(tries < 10, "node {asked}, job {number}");
+            let mut queries = 0;
+            while simulation.job_state(queried, &job_id(number)) != Some(JobStatus::Cancelled) {
+                queries += 1;
+                assert!(queries < 10, "node {queried}, job {number}");
             }
         }
-        assert_eq!(simulation.job_state(asked, &job_id(1)).map(JobStatus::is_final), Some(false), "it needs nothing");
+        assert_eq!(simulation.job_state(queried, &job_id(1)).map(JobStatus::is_final),
+            Some(false),
+            "job 1 depends on no cancelled job"
+        );
     }
     simulation.start_node((leader + 2) % 3);
     simulation.run(secs(8));
@@ -330,33 +338,36 @@
 }
 
 #[test]
-fn a_cancelled_job_is_named_on_a_node_that_never_heard_of_it() {
+fn restarted_node_accepts_a_job_that_depends_on_a_cancelled_one() {
     let (mut simulation, leader) = Simulation::with_short_tasks();
-    submit(&mut simulation, CHAIN);
+    submit_graph(&mut simulation, CHAIN);
     let node = (leader + 1) % 3;
     assert!(simulation.cancel(leader, &job_id(1)).is_some());
-    // It knows nothing, nobody leads, and the state service refuses it for a while.
-    (0..3).for_each(|n| simulation.crash_node(n));
+    // The restarted node knows no jobs, no node leads, and the state service refuses it for a while.
+    (0..3).for_each(|other| simulation.crash_node(other));
     simulation.start_node(node);
     simulation.run(millis(400));
     simulation.partitioned_from_store.insert(node);
     simulation.run(secs(3));
-    assert_eq!(simulation.submit(node, dependent_job(10, 2, &[4])), Some(503), "nothing can be durable");
+    assert_eq!(simulation.submit(node, dependent_job(10, 2, &[4])), Some(503), "accepted although nothing can be made durable");
     simulation.partitioned_from_store.clear();
     simulation.run(secs(1));
-    assert_eq!(simulation.submit(node, dependent_job(10, 2, &[4])), Some(201), "accepted all the same");
+    assert_eq!(simulation.submit(node, dependent_job(10, 2, &[4])),
+        Some(201),
+        "a job that depends on a cancelled one must be accepted"
+    );
     assert_eq!(simulation.job_state(node, &job_id(10)), Some(JobStatus::Cancelled));
     assert_eq!(simulation.submit(node, dependent_job(10, 2, &[4])), Some(200));
-    (0..3).filter(|n| *n != node).for_each(|n| simulation.start_node(n));
+    (0..3).filter(|other| *other != node).for_each(|other| simulation.start_node(other));
     simulation.run(secs(10));
-    for n in 0..3 {
-        assert_eq!(simulation.job_states(n, 10..=10), all_in_state(JobStatus::Cancelled, 1));
+    for other in 0..3 {
+        assert_eq!(simulation.job_states(other, 10..=10), all_in_state(JobStatus::Cancelled, 1));
     }
-    assert!(none_runs(&simulation, 10..=10));
+    assert!(none_running(&simulation, 10..=10));
 }
 
 #[test]
-fn wide_lists_are_taken_as_far_as_values_hold_them_the_same_on_every_node() {
+fn every_node_accepts_dependency_lists_up_to_the_size_of_a_value() {
     let (mut simulation, _) = Simulation::with_short_tasks();
     simulation.steps_per_check = 10;
     for number in 1..=400 {
@@ -367,47 +378,47 @@
     assert_eq!(simulation.checker.accepted_jobs().len(), 400);
     simulation.store.reports_one_failed_condition = true;
     simulation.cloud.capacity = 30;
-    // Nodes that never heard of these jobs take as many as there are; what a value does not
-    // hold is refused everywhere, whether the jobs exist or not.
-    let named: Vec<u32> = (1..=400).collect();
-    assert_eq!(simulation.submit(1, dependent_job(500, 2, &named[..60])), Some(201));
+    // Nodes that do not know these jobs accept lists of all that exist; a list that does not fit
+    // into a value is rejected everywhere, whether the jobs exist or not.
+    let dependencies: Vec<u32> = (1..=400).collect();
+    assert_eq!(simulation.submit(1, dependent_job(500, 2, &dependencies[..60])), Some(201));
     simulation.store.reports_one_failed_condition = false;
-    assert_eq!(simulation.submit(1, dependent_job(501, 2, &named)), Some(201));
-    let beyond: Vec<u32> = (1..=700).collect();
+    assert_eq!(simulation.submit(1, dependent_job(501, 2, &dependencies)), Some(201));
+    let too_many: Vec<u32> = (1..=700).collect();
     for node in [0, 1, 2, 1] {
-        assert_eq!(simulation.submit(node, dependent_job(902, 2, &beyond)), Some(400), "node {node}");
+        assert_eq!(simulation.submit(node, dependent_job(902, 2, &too_many)), Some(400), "node {node}");
         assert_eq!(simulation.submit(node, dependent_job(903, 2, &[400, 401])), Some(422), "node {node}");
     }
     run_until(&mut simulation, secs(200), |simulation| {
         is_recorded_done(simulation, 501) && is_recorded_done(simulation, 500)
     });
-    assert_eq!(simulation.checker.dependent_starts, 2 * 460, "the order was checked");
+    assert_eq!(simulation.checker.dependent_starts, 2 * 460, "the order of all starts must be checked");
     for node in 0..3 {
-        assert_eq!(simulation.submit(node, dependent_job(501, 2, &named)), Some(200));
-        // An accepted job stays accepted, even if its repeat could not be taken today.
-        assert_eq!(simulation.submit(node, dependent_job(501, 2, &beyond)), Some(200));
+        assert_eq!(simulation.submit(node, dependent_job(501, 2, &dependencies)), Some(200));
+        // An accepted job stays accepted, even if its resubmission would be rejected as a new job.
+        assert_eq!(simulation.submit(node, dependent_job(501, 2, &too_many)), Some(200));
     }
 }
 
 #[test]
-fn a_list_that_a_value_holds_but_no_transaction_is_refused() {
+fn dependency_list_that_fits_a_value_but_no_transaction_is_rejected() {
     let large_values = Facts { value_bytes: 64 * 1024, ..facts(0, 3) };
     let mut simulation = Simulation::with_facts(large_values, 1, Policy::default(), &["a"]);
     simulation.store.max_value_bytes = 64 * 1024;
     simulation.run(secs(6));
     assert_eq!(simulation.submit(0, dependent_job(1, 1, &[])), Some(201));
-    let named = |count: u32| vec![1].into_iter().chain(10_000..10_000 + count).collect::<Vec<u32>>();
-    assert_eq!(simulation.submit(1, dependent_job(2, 1, &named(4000))), Some(400));
-    // A shorter one is judged by its jobs, which were never accepted.
-    assert_eq!(simulation.submit(1, dependent_job(3, 1, &named(2000))), Some(422));
+    let dependencies = |count: u32| vec![1].into_iter().chain(10_000..10_000 + count).collect::<Vec<u32>>();
+    assert_eq!(simulation.submit(1, dependent_job(2, 1, &dependencies(4000))), Some(400));
+    // A shorter list is rejected because its jobs were never accepted.
+    assert_eq!(simulation.submit(1, dependent_job(3, 1, &dependencies(2000))), Some(422));
 }
 
 #[test]
-fn an_accepted_job_is_not_refused_by_a_node_with_lower_limits() {
+fn accepted_job_is_not_rejected_by_a_node_with_lower_limits() {
     let (mut simulation, _) = Simulation::with_short_tasks();
     let types: Vec<String> = (0..200).map(|n| format!("type-of-machine-{n:04}")).chain(["m16".into()]).collect();
     let large = JobSpec { types: Some(types), ..dependent_job(1, 1, &[]) };
-    let size = serde_json::to_string(&large).expect("it is JSON").len();
+    let size = serde_json::to_string(&large).expect("the spec can be serialized").len();
     assert!((2048..8000).contains(&size), "{size} bytes");
     assert_eq!(simulation.submit(0, large.clone()), Some(201));
     simulation.run(secs(12));
@@ -424,29 +435,30 @@
     }
 }
 
-/// A full fleet, a queue of jobs 3 to 5 of normal priority, and job 8 of the lowest, which job 10 awaits.
-fn queue_behind_a_full_fleet() -> Simulation {
+/// Returns a world with a full fleet, jobs 3 to 5 of normal priority in the queue, and job 8 of the
+/// lowest priority, on which job 10 depends.
+fn full_fleet_with_queue() -> Simulation {
     let (mut simulation, _) = Simulation::with_short_tasks();
     simulation.cloud.capacity = 3;
     simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 15.0);
-    let blue = |spec: JobSpec| JobSpec { team: "blue".into(), ..spec };
-    (1..=2).for_each(|number| assert_eq!(simulation.submit(0, blue(dependent_job(number, 48, &[]))), Some(201)));
+    let of_team_blue = |spec: JobSpec| JobSpec { team: "blue".into(), ..spec };
+    (1..=2).for_each(|number| assert_eq!(simulation.submit(0, of_team_blue(dependent_job(number, 48, &[]))), Some(201)));
     simulation.run(secs(1));
     for spec in [dependent_job(3, 16, &[]), dependent_job(4, 16, &[]), dependent_job(5, 16, &[])] {
-        assert_eq!(simulation.submit(0, blue(spec)), Some(201));
+        assert_eq!(simulation.submit(0, of_team_blue(spec)), Some(201));
     }
-    let lowest = |spec: JobSpec| JobSpec { priority: Priority::BestEffort, ..blue(spec) };
-    assert_eq!(simulation.submit(1, lowest(JobSpec { cpus: 2.0, ..dependent_job(8, 12, &[]) })), Some(201));
-    assert_eq!(simulation.submit(2, lowest(dependent_job(10, 1, &[8]))), Some(201));
+    let of_lowest_priority = |spec: JobSpec| JobSpec { priority: Priority::BestEffort, ..of_team_blue(spec) };
+    assert_eq!(simulation.submit(1, of_lowest_priority(JobSpec { cpus: 2.0, ..dependent_job(8, 12, &[]) })), Some(201));
+    assert_eq!(simulation.submit(2, of_lowest_priority(dependent_job(10, 1, &[8]))), Some(201));
     simulation
 }
 
-/// Which of the queue begins first.
-fn first_to_begin(simulation: &mut Simulation) -> Option<u32> {
+/// Returns the queued job that starts first.
+fn first_job_to_start(simulation: &mut Simulation) -> Option<u32> {
     for _ in 0..600 {
         simulation.run(millis(100));
-        let begun = |number: &u32| !simulation.running_tasks(&job_id(*number)).is_empty();
-        if let Some(first) = [8, 3, 4, 5].into_iter().find(begun) {
+        let has_started = |number: &u32| !simulation.running_tasks(&job_id(*number)).is_empty();
+        if let Some(first) = [8, 3, 4, 5].into_iter().find(has_started) {
             return Some(first);
         }
     }
@@ -454,20 +466,20 @@
 }
 
 #[test]
-fn priority_passes_through_a_chain_and_is_taken_back_with_the_job_that_gave_it() {
-    for leader_ends in [false, true] {
+fn priority_is_inherited_through_a_chain_until_its_source_is_cancelled() {
+    for leader_crashes in [false, true] {
         for cancelled in [false, true] {
-            let mut simulation = queue_behind_a_full_fleet();
-            // The last job of the pipeline comes when the others wait, or to another leader.
-            let end_leader = |simulation: &mut Simulation| {
+            let mut simulation = full_fleet_with_queue();
+            // The last job of the pipeline is submitted while the others wait, or under another leader.
+            let restart_leader = |simulation: &mut Simulation| {
                 let leader = simulation.leader().expect("a leader");
                 simulation.crash_node(leader);
                 simulation.run(secs(4));
                 simulation.start_node(leader);
                 simulation.run(secs(2));
             };
-            if leader_ends {
-                end_leader(&mut simulation);
+            if leader_crashes {
+                restart_leader(&mut simulation);
             }
             let last = JobSpec { priority: Priority::High, team: "blue".into(), ..dependent_job(9, 1, &[10]) };
             assert_eq!(simulation.submit(0, last), Some(201));
@@ -476,8 +488,8 @@
                 assert!(simulation.cancel(1, &job_id(9)).is_some());
             }
             simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 4.0);
-            let first = first_to_begin(&mut simulation);
-            assert_eq!(first == Some(8), !cancelled, "{first:?} begins first; leader ends: {leader_ends}");
+            let first = first_job_to_start(&mut simulation);
+            assert_eq!(first == Some(8), !cancelled, "{first:?} starts first; leader crashes: {leader_crashes}");
             simulation.run(secs(60));
             assert_eq!(simulation.job_state(0, &job_id(10)), Some(JobStatus::Done));
         }
--- a/crates/core/tests/user_responses.rs
+++ b/crates/core/tests/user_responses.rs
@@ -1,30 +1,30 @@
-//! What users are told when they ask at all nodes, again and again, and answers of the state
-//! service are late or lost. The world compares each answer with all that any node told before
-//! its question was asked.
+//! Consistency of the responses to users who query every node repeatedly while responses of the
+//! state service are late or lost. The simulated world checks each response against everything
+//! that any node had reported before the request was sent.
 
 use rushyoke_testkit::{Simulation, job, millis, secs, service};
 use rushyoke_wire::job::{JobSpec, JobStatus};
 
 #[test]
-fn a_look_under_way_does_not_answer_who_asks_later() {
-    // Found on a drawn day, by close looks: done, then running. A question was answered by a
-    // comparison that had been sent for an earlier one, before another node told the newer state.
-    for end in ["accepted", "cancelled", "done"] {
+fn comparison_in_flight_does_not_answer_later_requests() {
+    // Guards against a job reported as done and then as running: a request was answered from a
+    // comparison sent for an earlier request, before another node had reported the newer state.
+    for final_state in ["accepted", "cancelled", "done"] {
         let mut simulation = Simulation::with_elected_leader(2);
         let id = "wk-000001";
-        if end != "accepted" {
-            simulation.submit(0, if end == "done" { job(1, 2) } else { service(1, 2) });
+        if final_state != "accepted" {
+            simulation.submit(0, if final_state == "done" { job(1, 2) } else { service(1, 2) });
             simulation.run(secs(3));
             (0..3).for_each(|node| simulation.send_status_request(node, id));
             simulation.run(millis(200));
         }
-        while end == "done" && simulation.checker.finished_tasks(id) < 2 {
+        while final_state == "done" && simulation.checker.finished_tasks(id) < 2 {
             simulation.run(millis(10));
         }
         simulation.delayed_responses_until.insert(1, simulation.now + millis(1200));
         simulation.send_status_request(1, id);
         simulation.run(millis(40));
-        match end {
+        match final_state {
             "accepted" => assert_eq!(simulation.submit(0, job(1, 2)), Some(201)),
             "cancelled" => assert!(simulation.cancel(0, id).is_some()),
             _ => {
@@ -34,20 +34,21 @@
                 }
             }
         }
-        assert!(simulation.checker.has_ended(id) || end == "accepted", "{end}: it was told in time");
-        let told = simulation.checker.successful_responses;
+        assert!(simulation.checker.has_ended(id) || final_state == "accepted", "{final_state}: no node reported the state");
+        let responses_before = simulation.checker.successful_responses;
         for _ in 0..5 {
             (0..3).for_each(|node| simulation.send_status_request(node, id));
             simulation.run(millis(5));
         }
         simulation.run(secs(3));
-        assert!(simulation.checker.successful_responses >= told + 10, "{end}: most were answered");
+        assert!(simulation.checker.successful_responses >= responses_before + 10, "{final_state}: too few requests got a response");
     }
 }
 
 #[test]
-fn a_job_that_the_cache_loses_during_a_look_is_not_unknown() {
-    // Found by reading: what was compared is what is true, even if the cache has lost it since.
+fn job_evicted_from_the_cache_during_a_comparison_is_not_reported_as_unknown() {
+    // The result of the comparison with the state service holds, even if the cache has evicted
+    // the job since.
     let policy = rushyoke_core::Policy { job_cache_size: 4, ..rushyoke_core::Policy::default() };
     let mut simulation = Simulation::with_policy(2, policy, &["a"]);
     simulation.run(secs(6));
@@ -56,113 +57,113 @@
     simulation.send_status_request(0, "wk-000001");
     simulation.run(millis(20));
     simulation.delayed_responses_until.clear();
-    let told = simulation.checker.successful_responses;
-    (2..10).for_each(|id| simulation.send_submission(0, service(id, 1)));
+    let responses_before = simulation.checker.successful_responses;
+    (2..10).for_each(|number| simulation.send_submission(0, service(number, 1)));
     simulation.run(secs(3));
-    assert!(simulation.checker.successful_responses > told + 8, "all were answered");
+    assert!(simulation.checker.successful_responses > responses_before + 8, "some requests got no response");
 }
 
 #[test]
-fn transactions_whose_answers_are_lost_are_told_as_they_are() {
-    // Carried out at once, while other nodes already read what was written.
+fn transactions_with_lost_responses_are_reported_as_carried_out() {
+    // The transactions are carried out at once, and other nodes already read what they wrote.
     let mut simulation = Simulation::with_elected_leader(2);
-    let leader = simulation.leader().expect("a lead");
+    let leader = simulation.leader().expect("a leader");
     simulation.lost_txn_responses.extend(0..3);
-    for id in 1..6 {
-        simulation.send_submission(id as usize % 3, if id % 2 == 0 { service(id, 2) } else { job(id, 2) });
+    for number in 1..6 {
+        simulation.send_submission(number as usize % 3, if number % 2 == 0 { service(number, 2) } else { job(number, 2) });
         simulation.run(millis(300));
-        (0..3).for_each(|node| simulation.send_status_request(node, &format!("wk-{id:06}")));
+        (0..3).for_each(|node| simulation.send_status_request(node, &format!("wk-{number:06}")));
     }
     simulation.run(secs(2));
-    assert!(simulation.commits_without_response > 3, "answers were lost");
+    assert!(simulation.commits_without_response > 3, "too few responses were lost");
     simulation.lost_txn_responses.clear();
     simulation.lost_txn_responses.insert(leader);
-    for id in 1..6 {
-        let name = format!("wk-{id:06}");
+    for number in 1..6 {
+        let id = format!("wk-{number:06}");
         let other = (leader + 1) % 3;
-        assert_eq!(simulation.submit(other, if id % 2 == 0 { service(id, 2) } else { job(id, 2) }), Some(200));
-        if id % 2 == 0 {
-            simulation.cancel(other, &name);
+        assert_eq!(simulation.submit(other, if number % 2 == 0 { service(number, 2) } else { job(number, 2) }), Some(200));
+        if number % 2 == 0 {
+            simulation.cancel(other, &id);
         }
-        (0..3).for_each(|node| simulation.send_status_request(node, &name));
+        (0..3).for_each(|node| simulation.send_status_request(node, &id));
     }
     simulation.run(secs(20));
-    assert_eq!(simulation.leader(), Some(leader), "a lost answer ends no term");
+    assert_eq!(simulation.leader(), Some(leader), "a lost response ended the leader's term");
     simulation.clear_faults();
     simulation.run(secs(20));
-    for id in 1..6 {
-        let end = if id % 2 == 0 { JobStatus::Cancelled } else { JobStatus::Done };
-        assert_eq!(simulation.job_state(other_than(leader), &format!("wk-{id:06}")), Some(end));
+    for number in 1..6 {
+        let expected = if number % 2 == 0 { JobStatus::Cancelled } else { JobStatus::Done };
+        assert_eq!(simulation.job_state(next_node(leader), &format!("wk-{number:06}")), Some(expected));
     }
     simulation.check_recovered();
 }
 
-fn other_than(node: usize) -> usize {
+fn next_node(node: usize) -> usize {
     (node + 1) % 3
 }
 
 #[test]
-fn cancellations_questions_and_repeats_meet_the_end_of_the_last_task() {
-    for shift in 0..8 {
+fn cancellations_queries_and_resubmissions_race_with_the_end_of_the_last_task() {
+    for offset in 0..8 {
         let mut simulation = Simulation::with_elected_leader(2);
-        for id in 1..6 {
-            simulation.submit(id as usize % 3, job(id, 1 + id));
+        for number in 1..6 {
+            simulation.submit(number as usize % 3, job(number, 1 + number));
         }
         while simulation.checker.finished_tasks("wk-000005") < 6 {
             simulation.run(millis(10));
         }
-        simulation.run(millis(70 * shift));
-        let mut kept = 0;
-        for id in 1..6 {
-            let name = format!("wk-{id:06}");
-            (0..3).for_each(|node| simulation.send_status_request(node, &name));
-            simulation.send_submission(id as usize % 3, job(id, 1 + id));
-            let told =
-                simulation.cancel((id as usize + 1) % 3, &name).and_then(|(_, view)| view).map(|view| view.state);
-            kept += u32::from(told == Some(JobStatus::Done));
-            assert!(told.is_some_and(JobStatus::is_final), "{name}: {told:?}");
-            simulation.send_submission(id as usize % 3, job(id, 1 + id));
-            (0..3).for_each(|node| simulation.send_status_request(node, &name));
+        simulation.run(millis(70 * offset));
+        let mut done_before = 0;
+        for number in 1..6 {
+            let id = format!("wk-{number:06}");
+            (0..3).for_each(|node| simulation.send_status_request(node, &id));
+            simulation.send_submission(number as usize % 3, job(number, 1 + number));
+            let state =
+                simulation.cancel((number as usize + 1) % 3, &id).and_then(|(_, view)| view).map(|view| view.state);
+            done_before += u32::from(state == Some(JobStatus::Done));
+            assert!(state.is_some_and(JobStatus::is_final), "{id}: {state:?}");
+            simulation.send_submission(number as usize % 3, job(number, 1 + number));
+            (0..3).for_each(|node| simulation.send_status_request(node, &id));
         }
         simulation.run(secs(4));
-        assert!(shift < 7 || kept > 0, "some had ended before");
+        assert!(offset < 7 || done_before > 0, "no job was done before its cancellation");
         assert!(simulation.store.rows.keys().all(|key| !key.starts_with("live/")));
     }
 }
 
 #[test]
-fn one_task_jobs_come_for_minutes_and_a_quarter_is_cancelled() {
+fn one_task_jobs_all_end_while_a_quarter_is_cancelled() {
     let mut simulation = Simulation::new(4);
     simulation.steps_per_check = 5;
     simulation.run(secs(6));
-    for id in 1..=400 {
-        simulation.send_submission(id as usize % 3, job(id, 1));
+    for number in 1..=400 {
+        simulation.send_submission(number as usize % 3, job(number, 1));
         simulation.run(millis(250));
-        let name = format!("wk-{id:06}");
-        if id % 4 == 0 {
-            let told = simulation.cancel((id as usize + 1) % 3, &name).and_then(|(_, view)| view);
-            assert!(told.is_some_and(|view| view.state.is_final()), "{name}");
+        let id = format!("wk-{number:06}");
+        if number % 4 == 0 {
+            let view = simulation.cancel((number as usize + 1) % 3, &id).and_then(|(_, view)| view);
+            assert!(view.is_some_and(|view| view.state.is_final()), "{id}");
         }
-        (0..3).for_each(|node| simulation.send_status_request(node, &name));
+        (0..3).for_each(|node| simulation.send_status_request(node, &id));
     }
     simulation.run(secs(20));
     assert_eq!(simulation.checker.accepted_jobs().len(), 400);
-    for id in 1..=400 {
-        let name = format!("wk-{id:06}");
-        let state = simulation.job_state(id as usize % 3, &name);
+    for number in 1..=400 {
+        let id = format!("wk-{number:06}");
+        let state = simulation.job_state(number as usize % 3, &id);
         assert!(
-            state == Some(JobStatus::Done) || id % 4 == 0 && state == Some(JobStatus::Cancelled),
-            "{name}: {state:?}"
+            state == Some(JobStatus::Done) || number % 4 == 0 && state == Some(JobStatus::Cancelled),
+            "{id}: {state:?}"
         );
     }
 }
 
 #[test]
-fn what_can_never_run_is_refused_by_every_node_again_and_again() {
-    // Also while the state service answers late, and beside repeats of what was accepted.
+fn jobs_that_can_never_run_are_rejected_by_every_node_every_time() {
+    // Also while the state service responds late, and between resubmissions of an accepted job.
     let mut simulation = Simulation::with_elected_leader(1);
     simulation.submit(0, job(1, 2));
-    let bad = [
+    let invalid_specs = [
         JobSpec { team: "green".into(), ..job(2, 1) },
         JobSpec { cpus: 17.0, ..job(3, 1) },
         JobSpec { zone: Some("z".into()), ..job(4, 1) },
@@ -170,15 +171,15 @@
         JobSpec { spread: true, one_zone: true, ..job(6, 4) },
     ];
     for round in 0..3 {
-        for (n, spec) in bad.iter().enumerate() {
-            assert_eq!(simulation.submit((n + round) % 3, spec.clone()), Some(422), "{}", spec.id);
+        for (index, spec) in invalid_specs.iter().enumerate() {
+            assert_eq!(simulation.submit((index + round) % 3, spec.clone()), Some(422), "{}", spec.id);
         }
         assert_eq!(simulation.submit(round, job(1, 2)), Some(200));
         simulation.delayed_responses_until.insert(round, simulation.now + millis(600));
-        let lead = simulation.leader().expect("a leader");
-        simulation.crash_node(lead);
+        let leader = simulation.leader().expect("a leader");
+        simulation.crash_node(leader);
         simulation.run(millis(500));
-        simulation.start_node(lead);
+        simulation.start_node(leader);
         simulation.run(secs(6));
     }
     simulation.run(secs(10));
