--- a/crates/core/tests/combined_faults.rs
+++ b/crates/core/tests/combined_faults.rs
@@ -75,7 +75,9 @@
         simulation.run(secs(10));
         assert!(simulation.terms.len() > terms, "{delay_ms} ms: no other node led");
         assert!(
-            simulation.running_tasks("wk-000001").is_empty() && simulation.running_tasks("wk-000003").is_empty(), "{delay_ms} ms");
+            simulation.running_tasks("wk-000001").is_empty() && simulation.running_tasks("wk-000003").is_empty(),
+            "{delay_ms} ms"
+        );
         simulation.start_node(leader);
         assert_eq!(simulation.starts_after_cancel, 0);
         check_recovery(&mut simulation);
@@ -187,8 +189,7 @@
                 simulation.crash_node(leader);
             }
             simulation.run(secs(8));
-            assert!(
-                !simulation.running_tasks("wk-000001").is_empty(), "{fault}: the cancelled tasks ended too early");
+            assert!(!simulation.running_tasks("wk-000001").is_empty(), "{fault}: the cancelled tasks ended too early");
             assert!(simulation.running_tasks("wk-000005").is_empty(), "{fault}: the new service did not wait");
             if takeover {
                 simulation.start_node(leader);
@@ -241,7 +242,8 @@
     simulation.partitioned_from_peers.insert(leader);
     let host = hosts(&simulation, "wk-000001").into_iter().next().expect("a host");
     let zone = simulation.workers[&host].zone.clone();
-    let in_zone: Vec<String> = simulation.workers.values().filter(|worker| worker.zone == zone).map(|worker| worker.name.clone()).collect();
+    let in_zone: Vec<String> =
+        simulation.workers.values().filter(|worker| worker.zone == zone).map(|worker| worker.name.clone()).collect();
     simulation.cloud.outage = true;
     for machine in simulation.workers.keys().cloned().collect::<Vec<_>>() {
         // Machines in the zone reach only the old leader, all others only the other nodes.
@@ -337,7 +339,10 @@
         simulation.run(secs(9));
         assert!(!simulation.running_tasks("wk-000001").is_empty(), "tasks ended although their leases were valid");
         simulation.run(millis(3500));
-        assert!(simulation.running_tasks("wk-000001").is_empty(), "tasks were not stopped as soon as their machines resumed");
+        assert!(
+            simulation.running_tasks("wk-000001").is_empty(),
+            "tasks were not stopped as soon as their machines resumed"
+        );
         simulation.start_node(leader);
         check_recovery(&mut simulation);
     }
--- a/crates/core/tests/dependencies.rs
+++ b/crates/core/tests/dependencies.rs
@@ -79,7 +79,9 @@
             simulation.clear_faults();
             simulation.run(secs(45));
             assert!(
-                if late { simulation.late_commits > 0 } else { simulation.commits_without_response > 0 }, "no response was lost or late");
+                if late { simulation.late_commits > 0 } else { simulation.commits_without_response > 0 },
+                "no response was lost or late"
+            );
             assert_eq!(simulation.job_states(leader, 1..=4), all_in_state(JobStatus::Done, 4), "late: {late}");
         }
     }
@@ -117,7 +119,8 @@
             for node in 0..3 {
                 assert_eq!(simulation.job_states(node, 1..=4), all_in_state(JobStatus::Cancelled, 4));
             }
-            assert!(simulation.store.rows.keys().all(|key| !key.starts_with("live/")),
+            assert!(
+                simulation.store.rows.keys().all(|key| !key.starts_with("live/")),
                 "records of cancelled jobs are still live"
             );
         }
@@ -276,7 +279,8 @@
     simulation.run(millis(500));
     enforce_lower_limits(&mut simulation);
     assert_eq!(simulation.submit(2, wide_array(601)), Some(201));
-    let live_records = |simulation: &Simulation| simulation.store.rows.keys().filter(|key| key.starts_with("live/")).count();
+    let live_records =
+        |simulation: &Simulation| simulation.store.rows.keys().filter(|key| key.starts_with("live/")).count();
     assert!(live_records(&simulation) > 300, "most records are closed already");
     let ids: Vec<String> = (1..=500).map(job_id).collect();
     for node in 0..3 {
@@ -326,7 +330,8 @@
                 assert!(queries < 10, "node {queried}, job {number}");
             }
         }
-        assert_eq!(simulation.job_state(queried, &job_id(1)).map(JobStatus::is_final),
+        assert_eq!(
+            simulation.job_state(queried, &job_id(1)).map(JobStatus::is_final),
             Some(false),
             "job 1 depends on no cancelled job"
         );
@@ -349,10 +354,15 @@
     simulation.run(millis(400));
     simulation.partitioned_from_store.insert(node);
     simulation.run(secs(3));
-    assert_eq!(simulation.submit(node, dependent_job(10, 2, &[4])), Some(503), "accepted although nothing can be made durable");
+    assert_eq!(
+        simulation.submit(node, dependent_job(10, 2, &[4])),
+        Some(503),
+        "accepted although nothing can be made durable"
+    );
     simulation.partitioned_from_store.clear();
     simulation.run(secs(1));
-    assert_eq!(simulation.submit(node, dependent_job(10, 2, &[4])),
+    assert_eq!(
+        simulation.submit(node, dependent_job(10, 2, &[4])),
         Some(201),
         "a job that depends on a cancelled one must be accepted"
     );
@@ -442,7 +452,8 @@
     simulation.cloud.capacity = 3;
     simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 15.0);
     let of_team_blue = |spec: JobSpec| JobSpec { team: "blue".into(), ..spec };
-    (1..=2).for_each(|number| assert_eq!(simulation.submit(0, of_team_blue(dependent_job(number, 48, &[]))), Some(201)));
+    (1..=2)
+        .for_each(|number| assert_eq!(simulation.submit(0, of_team_blue(dependent_job(number, 48, &[]))), Some(201)));
     simulation.run(secs(1));
     for spec in [dependent_job(3, 16, &[]), dependent_job(4, 16, &[]), dependent_job(5, 16, &[])] {
         assert_eq!(simulation.submit(0, of_team_blue(spec)), Some(201));
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -64,7 +64,8 @@
 
 /// Returns the machines on which replicas run, and the number of running replicas.
 fn running_replicas(simulation: &Simulation, services: u32) -> (BTreeSet<String>, usize) {
-    let placements: Vec<_> = (0..services).flat_map(|number| simulation.running_tasks(&format!("wk-{number:06}"))).collect();
+    let placements: Vec<_> =
+        (0..services).flat_map(|number| simulation.running_tasks(&format!("wk-{number:06}"))).collect();
     (placements.iter().map(|(_, machine)| machine.clone()).collect(), placements.len())
 }
 
@@ -121,7 +122,8 @@
     // Jobs that may use spot machines, all of which are then reclaimed without notice.
     (100..112).for_each(|number| assert_eq!(simulation.submit(0, job(number, 60)), Some(201)));
     simulation.run(secs(16));
-    let spot: Vec<String> = simulation.workers.iter().filter(|(_, worker)| worker.spot).map(|(name, _)| name.clone()).collect();
+    let spot: Vec<String> =
+        simulation.workers.iter().filter(|(_, worker)| worker.spot).map(|(name, _)| name.clone()).collect();
     assert!((25..50).contains(&spot.len()), "{} spot machines", spot.len());
     for name in &spot {
         simulation.workers.remove(name);
@@ -158,7 +160,8 @@
     assert_eq!((running_tasks(&simulation, services), running_tasks(&simulation, arrays)), (960, 22_500));
     // One zone is partitioned from everything; all controllers crash and come back.
     let zone = ZONES[0];
-    let partitioned: Vec<String> = simulation.workers.iter().filter(|(_, worker)| worker.zone == zone).map(|(name, _)| name.clone()).collect();
+    let partitioned: Vec<String> =
+        simulation.workers.iter().filter(|(_, worker)| worker.zone == zone).map(|(name, _)| name.clone()).collect();
     simulation.partitioned_machines.extend(partitioned);
     (0..3).for_each(|node| simulation.crash_node(node));
     simulation.run(secs(1));
@@ -255,7 +258,9 @@
     let (services, arrays) = submitted.split_at(40);
     let expected = (1000, 46_800);
     let deadline = simulation.now + secs(60);
-    while (running_tasks(&simulation, services), running_tasks(&simulation, arrays)) != expected && simulation.now < deadline {
+    while (running_tasks(&simulation, services), running_tasks(&simulation, arrays)) != expected
+        && simulation.now < deadline
+    {
         simulation.run(secs(1));
     }
     assert_eq!(
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -33,7 +33,8 @@
     simulation.run(secs(50));
     assert_eq!(simulation.submit(1, JobSpec { dependencies: vec![job_id(5), job_id(6)], ..job(10, 5) }), Some(201));
     let queried: Vec<String> = (1..40).map(job_id).collect();
-    assert_eq!(simulation.statuses_of_all(0, &queried).len(),
+    assert_eq!(
+        simulation.statuses_of_all(0, &queried).len(),
         39,
         "some of the queries, too many for one comparison, got no response"
     );
@@ -106,7 +107,8 @@
         assert_eq!(simulation.submit(0, JobSpec { spot: false, ..job(1, tasks) }), Some(201));
         simulation.run(secs(8));
         assert_eq!(simulation.running_tasks(&job_id(1)).len() as u32, tasks, "some of {tasks} tasks did not start");
-        with_second_segment += usize::from(simulation.store.rows.keys().filter(|key| key.starts_with("log/")).count() > 1);
+        with_second_segment +=
+            usize::from(simulation.store.rows.keys().filter(|key| key.starts_with("log/")).count() > 1);
     }
     assert!((1..20).contains(&with_second_segment), "{with_second_segment} of 20 jobs needed a second segment");
 }
--- a/crates/core/tests/machines.rs
+++ b/crates/core/tests/machines.rs
@@ -158,7 +158,11 @@
         );
     }
     assert_eq!(simulation.running_tasks("wk-000001").len(), 3);
-    assert_eq!(simulation.job_state(2, "wk-000002"), Some(JobStatus::Done), "the job did not complete on the other machines");
+    assert_eq!(
+        simulation.job_state(2, "wk-000002"),
+        Some(JobStatus::Done),
+        "the job did not complete on the other machines"
+    );
     simulation.cloud.outage = false;
     simulation.run(secs(20));
     assert!(!simulation.workers.contains_key(&unreachable), "the unreachable machine was not released");
@@ -172,7 +176,10 @@
     simulation.lost_inbound.insert("n-000000".into());
     simulation.submit(0, job(1, 8));
     simulation.run(secs(3));
-    assert!(simulation.count_recorded_placements("wk-000001", "n-000000") > 0, "no task was placed on the unreachable machine at first");
+    assert!(
+        simulation.count_recorded_placements("wk-000001", "n-000000") > 0,
+        "no task was placed on the unreachable machine at first"
+    );
     for id in 2..6 {
         simulation.submit(id as usize % 3, job(id, 4));
         simulation.run(secs(1));
@@ -279,7 +286,8 @@
     simulation.run(secs(8));
     assert_eq!(simulation.submit(0, service(1, 24)), Some(201));
     simulation.run(secs(2));
-    assert!(simulation.running_tasks("wk-000001").iter().any(|(_, machine)| *machine == new_machine),
+    assert!(
+        simulation.running_tasks("wk-000001").iter().any(|(_, machine)| *machine == new_machine),
         "the new machine got no tasks"
     );
     simulation.lost_reports.clear();
--- a/crates/core/tests/pipelines.rs
+++ b/crates/core/tests/pipelines.rs
@@ -187,8 +187,9 @@
     simulation.submit(0, filler(1));
     simulation.submit(0, filler(2));
     simulation.run(secs(1));
-    (3..6)
-        .for_each(|number| assert_eq!(simulation.submit(0, JobSpec { team: "blue".into(), ..job(number, 16) }), Some(201)));
+    (3..6).for_each(|number| {
+        assert_eq!(simulation.submit(0, JobSpec { team: "blue".into(), ..job(number, 16) }), Some(201))
+    });
     let low = JobSpec { priority: Priority::BestEffort, cpus: 2.0, team: "blue".into(), ..dependent_job(8, 12, &[]) };
     assert_eq!(simulation.submit(1, low), Some(201));
     let high = JobSpec { priority: Priority::High, team: "blue".into(), ..dependent_job(9, 1, &[8]) };
@@ -222,7 +223,8 @@
     simulation.run(secs(25));
     assert_eq!(simulation.job_state(leader, &job_id(300)), Some(JobStatus::Cancelled));
     assert_eq!(simulation.job_state((leader + 2) % 3, &job_id(150)), Some(JobStatus::Cancelled));
-    assert!(simulation.store.rows.keys().filter(|key| key.starts_with("live/")).count() == 2,
+    assert!(
+        simulation.store.rows.keys().filter(|key| key.starts_with("live/")).count() == 2,
         "records of cancelled jobs are still live"
     );
 }
--- a/crates/core/tests/random_faults.rs
+++ b/crates/core/tests/random_faults.rs
@@ -74,7 +74,8 @@
 /// Whether a job, or one that it depends on directly or through others, is one of these.
 fn is_or_depends_on(simulation: &Simulation, id: &str, numbers: &[u32]) -> bool {
     let is_listed = numbers.iter().any(|listed| format!("wk-{listed:06}") == id);
-    is_listed || simulation.specs[id].dependencies.iter().any(|dependency| is_or_depends_on(simulation, dependency, numbers))
+    is_listed
+        || simulation.specs[id].dependencies.iter().any(|dependency| is_or_depends_on(simulation, dependency, numbers))
 }
 
 /// Runs nine rounds of submissions, random faults and cancellations, and checks how every job ends.
@@ -99,7 +100,8 @@
                 let dependency = submitted
                     .get(rng.random_range(0..=submitted.len()))
                     .map(|(dependency, _)| format!("wk-{dependency:06}"));
-                spec.dependencies.extend(dependency.filter(|dependency| simulation.specs[dependency].kind == Kind::Array));
+                spec.dependencies
+                    .extend(dependency.filter(|dependency| simulation.specs[dependency].kind == Kind::Array));
             }
             if matches!(simulation.submit(rng.random_range(0..3), spec), Some(200 | 201)) {
                 submitted.push((number, tasks));
--- a/crates/core/tests/user_responses.rs
+++ b/crates/core/tests/user_responses.rs
@@ -34,14 +34,20 @@
                 }
             }
         }
-        assert!(simulation.checker.has_ended(id) || final_state == "accepted", "{final_state}: no node reported the state");
+        assert!(
+            simulation.checker.has_ended(id) || final_state == "accepted",
+            "{final_state}: no node reported the state"
+        );
         let responses_before = simulation.checker.successful_responses;
         for _ in 0..5 {
             (0..3).for_each(|node| simulation.send_status_request(node, id));
             simulation.run(millis(5));
         }
         simulation.run(secs(3));
-        assert!(simulation.checker.successful_responses >= responses_before + 10, "{final_state}: too few requests got a response");
+        assert!(
+            simulation.checker.successful_responses >= responses_before + 10,
+            "{final_state}: too few requests got a response"
+        );
     }
 }
 
@@ -70,7 +76,8 @@
     let leader = simulation.leader().expect("a leader");
     simulation.lost_txn_responses.extend(0..3);
     for number in 1..6 {
-        simulation.send_submission(number as usize % 3, if number % 2 == 0 { service(number, 2) } else { job(number, 2) });
+        simulation
+            .send_submission(number as usize % 3, if number % 2 == 0 { service(number, 2) } else { job(number, 2) });
         simulation.run(millis(300));
         (0..3).for_each(|node| simulation.send_status_request(node, &format!("wk-{number:06}")));
     }
@@ -81,7 +88,10 @@
     for number in 1..6 {
         let id = format!("wk-{number:06}");
         let other = (leader + 1) % 3;
-        assert_eq!(simulation.submit(other, if number % 2 == 0 { service(number, 2) } else { job(number, 2) }), Some(200));
+        assert_eq!(
+            simulation.submit(other, if number % 2 == 0 { service(number, 2) } else { job(number, 2) }),
+            Some(200)
+        );
         if number % 2 == 0 {
             simulation.cancel(other, &id);
         }
