--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -1,18 +1,18 @@
-//! What the leader keeps in the state service: a log of the tasks' states, pages into which
-//! the log's older part is gathered, and the end of jobs. One transaction is under way at
-//! a time.
+//! The leader's records in the state service: a log of task states, pages into which the older
+//! part of the log is compacted, and the end of jobs. At most one transaction is in flight.
 //!
-//! The store counts changes, not bytes, and many jobs change a little all the time. So
-//! what changed goes, for all jobs together, into one value: the last segment of the log,
-//! written anew with more tasks in it until it is full. A task's state is what the record
-//! says that was written last; every record is rendered from memory as it is then. A
-//! segment is deleted once all that it names is over or stands in a later page.
+//! The store limits the number of changes, not their size, and many jobs change a little all the
+//! time. So the changes of all jobs go into one value: the open segment of the log, which is
+//! rewritten with more tasks until it is full. A task's state is the one in the record written
+//! last; each record is rendered from memory at the time of writing. A segment is deleted once
+//! every task in it belongs to a finished job or is contained in a later page.
 //!
-//! Guards: every transaction names the leader key's version (an old leader writes nothing),
-//! and the job's where it places a task (nothing starts after a cancellation). One that
-//! was not answered may be applied late and bring back an old state: it names the last
-//! segment's version, so the next one writes that same segment, whatever else it does,
-//! and only then a new segment is begun.
+//! Every transaction has the version of the leader key as a condition, so that a deposed leader
+//! writes nothing. One that places tasks also has the version of their jobs, so that nothing
+//! starts after a cancellation. A transaction without a response may be applied late and would
+//! bring back an old state. It has the version of the open segment as a condition, so the next
+//! transaction always writes that same segment, which makes the late one fail. Only then is a new
+//! segment begun.
 
 mod log;
 pub(crate) mod state;
@@ -31,51 +31,56 @@
 
 use state::WritePriority;
 
-const RETRY: Duration = Duration::from_millis(200);
-/// Least time from one transaction to the next: what gathers meanwhile shares a change.
-const GAP: Duration = Duration::from_millis(60);
-/// The same where nobody waits for it: places that came free, tasks that are done.
-const LAZY_GAP: Duration = Duration::from_millis(500);
-/// The same where only moves have ended: their record is no more than stale until then.
-const MOVES_GAP: Duration = Duration::from_secs(5);
-/// Segments that one transaction gathers at the most.
-const GATHERED: usize = 2;
-/// The log takes no more than this part of the store's changes a second, or users would wait.
-const LOG_SHARE: f64 = 0.4;
-/// Segments kept before the oldest is gathered into pages, and more of them where they are small:
-/// most jobs end before.
-const SEGMENTS: usize = 12;
-const SEGMENTS_BYTES: usize = 96 * 1024;
-/// Bytes of a value and of a transaction that stay unused.
-const SPARE: usize = 256;
-const TXN_BYTES: usize = 40 * 1024;
-/// What a task takes of a segment, about.
-const TASK_BYTES: usize = 48;
-/// The least that a task takes of a segment.
-const LEAST_BYTES: usize = 16;
+/// Delay before a failed read or write is repeated.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Minimum time between transactions, so that changes made meanwhile share one.
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(60);
+/// Minimum time between transactions with changes that nothing waits for, such as finished tasks.
+const DEFERRED_WRITE_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum time between transactions if only moves have ended: until then their record is merely stale.
+const MOVES_WRITE_INTERVAL: Duration = Duration::from_secs(5);
+/// Maximum number of segments that one transaction compacts.
+const MAX_COMPACTED_SEGMENTS: usize = 2;
+/// Maximum share of the store's changes per second used by the log; the rest is left to users' requests.
+const MAX_LOG_WRITE_SHARE: f64 = 0.4;
+/// Number of sealed segments kept before the oldest is compacted: most jobs end before that.
+const MIN_RETAINED_SEGMENTS: usize = 12;
+/// Total size of the sealed segments kept, which allows more of them if values are small.
+const MIN_RETAINED_BYTES: usize = 96 * 1024;
+/// Bytes of a value that stay unused.
+const RESERVED_VALUE_BYTES: usize = 256;
+/// Maximum size of a transaction.
+const MAX_TXN_BYTES: usize = 40 * 1024;
+/// Approximate size of a task in a segment.
+const TYPICAL_TASK_BYTES: usize = 48;
+/// Minimum size of a task in a segment.
+const MIN_TASK_BYTES: usize = 16;
 
 impl Term {
-    /// Sends the next transaction, if anything is to be written and none is under way.
+    /// Sends the next transaction if there is anything to write and none is in flight.
     pub fn write_records(&mut self, env: &mut Env) {
         let now = env.steady();
-        if self.records.retry.is_some_and(|t| t > now) {
+        if self.records.retry_at.is_some_and(|t| t > now) {
             return;
         }
-        self.read_back(env);
-        if self.records.in_flight || self.records.reading > 0 || !self.write_due(now, env.facts.write_rps) {
+        self.reread_uncertain_records(env);
+        if self.records.write_in_flight
+            || self.records.reads_in_flight > 0
+            || !self.is_write_due(now, env.facts.write_rps)
+        {
             return;
         }
-        let ops = env.facts.txn_ops;
+        let max_writes = env.facts.txn_ops;
         let mut txn = Txn::default().when(LEADER_KEY, self.token);
         let mut batch = Batch::default();
-        let mut conditioned: BTreeSet<Name> = BTreeSet::new();
-        self.close_jobs(&mut txn, &mut batch, &mut conditioned, ops.saturating_sub(2).max(2));
-        self.write_segment(env, &mut txn, &mut batch, &mut conditioned);
+        let mut guarded_jobs: BTreeSet<Name> = BTreeSet::new();
+        self.close_jobs(&mut txn, &mut batch, &mut guarded_jobs, max_writes.saturating_sub(2).max(2));
+        self.write_segment(env, &mut txn, &mut batch, &mut guarded_jobs);
         self.write_moves(env, &mut txn, &mut batch);
         self.write_zones(env, &mut txn, &mut batch);
-        self.gather(env, &mut txn, &mut batch);
-        while txn.writes.len() < ops {
-            let Some(key) = self.records.drops.pop_front() else {
+        self.compact_log(env, &mut txn, &mut batch);
+        while txn.writes.len() < max_writes {
+            let Some(key) = self.records.keys_to_delete.pop_front() else {
                 break;
             };
             txn = txn.delete(key.clone());
@@ -84,32 +89,35 @@
         if txn.writes.is_empty() {
             return;
         }
-        self.records.in_flight = true;
-        self.records.sent = Some(now);
-        let awaited = !batch.tasks.is_empty() || !batch.closed.is_empty();
-        // Before the users' changes: a flood of submissions must not keep jobs from starting.
-        let urgency = if awaited { Urgency::Record } else { Urgency::Low };
+        self.records.write_in_flight = true;
+        self.records.last_write_at = Some(now);
+        let urgent = !batch.tasks.is_empty() || !batch.closed.is_empty();
+        // Sent before users' changes: a burst of submissions must not keep jobs from starting.
+        let urgency = if urgent { Urgency::Record } else { Urgency::Low };
         env.call_store(Purpose::Record(RecordCall::Write(batch)), urgency, StoreOp::Txn(txn));
     }
 
-    fn write_due(&self, now: Instant, write_rps: f64) -> bool {
+    /// Whether there is anything to write and the minimum time since the last write has passed.
+    fn is_write_due(&self, now: Instant, write_rps: f64) -> bool {
         let records = &self.records;
-        let since = |gap: Duration| records.sent.is_none_or(|t| now.duration_since(t) >= gap);
-        let awaited = !records.placed.is_empty() || !records.closing.is_empty();
-        let moves = since(MOVES_GAP) && !self.moves_unwritten().is_empty();
-        let any = awaited
-            || moves
+        let elapsed = |interval: Duration| records.last_write_at.is_none_or(|t| now.duration_since(t) >= interval);
+        let urgent = !records.new_placements.is_empty() || !records.close_queue.is_empty();
+        let moves_due = elapsed(MOVES_WRITE_INTERVAL) && !self.moves_unwritten().is_empty();
+        let pending = urgent
+            || moves_due
             || self.zones_unwritten()
-            || records.doubt
-            || !records.changed.is_empty()
-            || !records.drops.is_empty();
-        let gap = GAP.max(Duration::from_secs_f64(1.0 / (write_rps * LOG_SHARE).max(0.1)));
-        any && since(if awaited { gap } else { LAZY_GAP })
+            || records.outcome_unknown
+            || !records.changed_tasks.is_empty()
+            || !records.keys_to_delete.is_empty();
+        let interval =
+            MIN_WRITE_INTERVAL.max(Duration::from_secs_f64(1.0 / (write_rps * MAX_LOG_WRITE_SHARE).max(0.1)));
+        pending && elapsed(if urgent { interval } else { DEFERRED_WRITE_INTERVAL })
     }
 
-    fn close_jobs(&mut self, txn: &mut Txn, batch: &mut Batch, conditioned: &mut BTreeSet<Name>, ops: usize) {
-        for _ in 0..self.records.closing.len() {
-            if txn.writes.len() + 2 > ops {
+    /// Adds the end of finished and cancelled jobs to the transaction.
+    fn close_jobs(&mut self, txn: &mut Txn, batch: &mut Batch, guarded_jobs: &mut BTreeSet<Name>, max_writes: usize) {
+        for _ in 0..self.records.close_queue.len() {
+            if txn.writes.len() + 2 > max_writes {
                 break;
             }
             let Some(name) = self.records.next_to_close() else { break };
@@ -121,66 +129,68 @@
                 continue;
             }
             job.closing = true;
-            conditioned.insert(name.clone());
-            let mut next = std::mem::take(txn).when(job_key(&name), job.version).delete(live_key(&name));
-            // A cancellation by its user stands there already.
-            let end = match (job.cancelled, job.orphaned) {
+            guarded_jobs.insert(name.clone());
+            let mut closing = std::mem::take(txn).when(job_key(&name), job.version).delete(live_key(&name));
+            // A cancellation by the user is already recorded.
+            let end_state = match (job.cancelled, job.orphaned) {
                 (false, _) => Some(RecordState::Done),
                 (true, orphaned) => orphaned.then_some(RecordState::Cancelled),
             };
-            if let Some(state) = end {
+            if let Some(state) = end_state {
                 let record = JobRecord::over(state, job.spec.tasks);
-                next = next.put(job_key(&name), serde_json::to_value(record).expect("records always encode"));
+                closing = closing.put(job_key(&name), serde_json::to_value(record).expect("records always encode"));
             }
-            *txn = next;
+            *txn = closing;
             batch.closed.push(name);
         }
     }
 
-    fn read_back(&mut self, env: &mut Env) {
-        if std::mem::take(&mut self.records.read_segment) {
-            self.records.reading += 1;
-            let key = segment_key(self.records.last.number);
+    /// Reads the records whose versions are uncertain after a failed write.
+    fn reread_uncertain_records(&mut self, env: &mut Env) {
+        if std::mem::take(&mut self.records.reread_segment) {
+            self.records.reads_in_flight += 1;
+            let key = segment_key(self.records.open_segment.number);
             env.call_store(Purpose::Record(RecordCall::ReadSegment), Urgency::Record, StoreOp::Get(key));
         }
-        for name in std::mem::take(&mut self.records.read_jobs) {
-            self.records.reading += 1;
+        for name in std::mem::take(&mut self.records.jobs_to_reread) {
+            self.records.reads_in_flight += 1;
             let key = job_key(&name);
             env.call_store(Purpose::Record(RecordCall::ReadJob(name)), Urgency::Record, StoreOp::Get(key));
         }
     }
 
-    /// Returns true if the store showed that another node leads.
+    /// Handles the outcome of a read or write of records. Returns whether it showed that another
+    /// node leads.
     pub fn record_outcome(&mut self, env: &mut Env, call: RecordCall, outcome: Outcome<StoreResponse>) -> bool {
         match call {
-            RecordCall::Write(batch) => return self.written(env, batch, outcome),
+            RecordCall::Write(batch) => return self.write_outcome(env, batch, outcome),
             RecordCall::ReadSegment => {
-                self.records.reading -= 1;
+                self.records.reads_in_flight -= 1;
                 match outcome {
-                    // Memory holds what is true; only the version was in doubt.
+                    // The state in memory is authoritative; only the version was uncertain.
                     Outcome::Responded(StoreResponse::Item(item)) => {
-                        self.records.last.version = item.map_or(0, |item| item.version);
+                        self.records.open_segment.version = item.map_or(0, |item| item.version);
                     }
                     _ => {
-                        self.records.read_segment = true;
-                        self.records.retry = Some(env.steady() + RETRY);
+                        self.records.reread_segment = true;
+                        self.records.retry_at = Some(env.steady() + RETRY_DELAY);
                     }
                 }
             }
             RecordCall::ReadJob(name) => {
-                self.records.reading -= 1;
+                self.records.reads_in_flight -= 1;
                 match outcome {
                     Outcome::Responded(StoreResponse::Item(Some(item))) => {
                         if let Ok(record) = serde_json::from_value::<JobRecord>(item.value) {
-                            self.job_read(env, &name, record.state, item.version);
+                            self.job_reread(env, &name, record.state, item.version);
                         }
                     }
                     Outcome::Responded(StoreResponse::Item(None)) => {
                         tracing::error!(job = &*name, "the record of an accepted job is missing");
                     }
                     _ => {
-                        self.records.read_jobs.insert(name);
-                        self.records.retry = Some(env.steady() + RETRY);
+                        self.records.jobs_to_reread.insert(name);
+                        self.records.retry_at = Some(env.steady() + RETRY_DELAY);
                     }
                 }
             }
@@ -188,38 +198,39 @@
         false
     }
 
-    /// The transaction has an outcome; true if another node leads.
-    fn written(&mut self, env: &mut Env, batch: Batch, outcome: Outcome<StoreResponse>) -> bool {
-        self.records.in_flight = false;
-        self.records.flying.clear();
+    /// Handles the outcome of a transaction. Returns whether it showed that another node leads.
+    fn write_outcome(&mut self, env: &mut Env, batch: Batch, outcome: Outcome<StoreResponse>) -> bool {
+        self.records.write_in_flight = false;
+        self.records.tasks_in_flight.clear();
         match outcome {
-            Outcome::Responded(StoreResponse::Committed(version)) => self.committed(env, batch, version),
+            Outcome::Responded(StoreResponse::Committed(version)) => self.write_committed(env, batch, version),
             Outcome::Responded(StoreResponse::ConditionsFailed(failed)) => {
                 if failed.iter().any(|key| key == LEADER_KEY) {
                     return true;
                 }
-                self.refused(batch, &failed);
+                self.conditions_failed(batch, &failed);
             }
             Outcome::Responded(_) | Outcome::NotExecuted => {
-                self.records.retry = Some(env.steady() + RETRY);
+                self.records.retry_at = Some(env.steady() + RETRY_DELAY);
                 self.requeue(batch);
             }
             Outcome::Unknown => {
-                self.records.doubt = true;
-                self.records.read_segment = true;
-                self.records.read_jobs.extend(batch.closed.iter().cloned());
+                self.records.outcome_unknown = true;
+                self.records.reread_segment = true;
+                self.records.jobs_to_reread.extend(batch.closed.iter().cloned());
                 self.requeue(batch);
             }
         }
         false
     }
 
+    /// Queues everything in a failed transaction to be written again.
     fn requeue(&mut self, batch: Batch) {
         for ((name, task), _) in batch.tasks {
-            let place = self.jobs.get(&name).and_then(|job| job.places.get(&task));
-            let planned = place.is_some_and(|place| place.stage == Stage::Planned);
-            let turn = self.jobs.get(&name).filter(|_| planned).map(|job| WritePriority::of(&job.spec));
-            self.records.mark_changed((name, task), turn);
+            let placement = self.jobs.get(&name).and_then(|job| job.places.get(&task));
+            let planned = placement.is_some_and(|placement| placement.stage == Stage::Planned);
+            let priority = self.jobs.get(&name).filter(|_| planned).map(|job| WritePriority::of(&job.spec));
+            self.records.mark_changed((name, task), priority);
         }
         for name in batch.closed {
             if let Some(job) = self.jobs.get_mut(&name) {
@@ -227,35 +238,39 @@
                 self.records.queue_close(&name);
             }
         }
-        self.records.drops.extend(batch.drops);
+        self.records.keys_to_delete.extend(batch.drops);
         self.moves_not_written(&batch.moves);
         if batch.failover {
             self.zones_not_written();
         }
     }
 
-    fn refused(&mut self, batch: Batch, failed: &[String]) {
+    /// Rereads the records whose versions had changed, and queues the transaction again.
+    fn conditions_failed(&mut self, batch: Batch, failed: &[String]) {
         for key in failed {
             if parse_segment_key(key).is_some() {
-                self.records.read_segment = true;
+                self.records.reread_segment = true;
             } else if let Some(id) = key.strip_prefix("job/") {
-                self.records.read_jobs.insert(Name::from(id));
+                self.records.jobs_to_reread.insert(Name::from(id));
             }
         }
         self.requeue(batch);
     }
 
-    fn committed(&mut self, env: &mut Env, batch: Batch, version: u64) {
+    /// Applies the effects of a committed transaction.
+    fn write_committed(&mut self, env: &mut Env, batch: Batch, version: u64) {
         if batch.segment {
-            self.records.last.version = version;
-            self.records.doubt = false;
-            self.records.newer(batch.tasks.iter().map(|(key, _)| key));
+            self.records.open_segment.version = version;
+            self.records.outcome_unknown = false;
+            self.records.supersede(batch.tasks.iter().map(|(key, _)| key));
         }
         for ((name, task), attempt) in batch.tasks {
-            let place = self.jobs.get_mut(&name).and_then(|job| job.places.get_mut(&task));
-            if let Some(place) = place.filter(|p| p.stage == Stage::Planned && Some(p.attempt) == attempt) {
-                place.stage = Stage::Ordered;
-                let machine = place.machine.clone();
+            let placement = self.jobs.get_mut(&name).and_then(|job| job.places.get_mut(&task));
+            if let Some(placement) =
+                placement.filter(|placement| placement.stage == Stage::Planned && Some(placement.attempt) == attempt)
+            {
+                placement.stage = Stage::Ordered;
+                let machine = placement.machine.clone();
                 self.call_soon(&machine);
             }
         }
@@ -269,15 +284,15 @@
         }
         for name in batch.closed {
             let cancelled = self.jobs.get(&name).is_some_and(|job| job.cancelled);
-            tracing::debug!(job = &*name, cancelled, "over");
+            tracing::debug!(job = &*name, cancelled, "job closed");
             self.dependency_over(env, &name, if cancelled { RecordState::Cancelled } else { RecordState::Done });
             self.forget_job(&name);
             self.scheduling_due = true;
         }
     }
 
-    /// What the store says of a job whose version was not the one we know.
-    fn job_read(&mut self, env: &mut Env, name: &Name, state: RecordState, version: u64) {
+    /// Applies the stored state of a job whose version differed from the one in memory.
+    fn job_reread(&mut self, env: &mut Env, name: &Name, state: RecordState, version: u64) {
         let Some(job) = self.jobs.get_mut(name) else {
             return;
         };
--- a/crates/core/src/records/log.rs
+++ b/crates/core/src/records/log.rs
@@ -1,4 +1,4 @@
-//! The log of task states: its last segment, and pages into which its older part is gathered.
+//! The log of task states: writing its open segment, and compacting its older part into pages.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,199 +9,206 @@
 use crate::jobs::*;
 use crate::term::Term;
 
-use super::state::{Sealed, Segment};
-use super::{Batch, GATHERED, LEAST_BYTES, SEGMENTS, SEGMENTS_BYTES, SPARE, TASK_BYTES, TXN_BYTES};
+use super::state::{OpenSegment, SealedSegment};
+use super::{
+    Batch, MAX_COMPACTED_SEGMENTS, MAX_TXN_BYTES, MIN_RETAINED_BYTES, MIN_RETAINED_SEGMENTS, MIN_TASK_BYTES,
+    RESERVED_VALUE_BYTES, TYPICAL_TASK_BYTES,
+};
 
-/// What one more task may take of a segment at the most, beside its job's name.
-const MARGIN: usize = 200;
-/// What a count of reruns takes at the most, beside the name of its list.
-const RERUNS_BYTES: usize = 24;
+/// Maximum size of one more task in a segment, without its job's name.
+const MAX_TASK_BYTES: usize = 200;
+/// Maximum size of a count of reruns, without the name of its list.
+const MAX_RERUN_COUNT_BYTES: usize = 24;
 
-fn segments_kept(value_bytes: usize) -> usize {
-    SEGMENTS.max(SEGMENTS_BYTES / value_bytes.max(1))
+/// Returns the number of sealed segments that are kept before the oldest is compacted.
+fn retained_segments(value_bytes: usize) -> usize {
+    MIN_RETAINED_SEGMENTS.max(MIN_RETAINED_BYTES / value_bytes.max(1))
 }
 
-/// Counts what a segment's value may take at the most.
+/// Upper bound of the size of a segment's value.
 #[derive(Default)]
-struct Size<'a> {
+struct SizeBound<'a> {
     bytes: usize,
     jobs: BTreeSet<&'a Name>,
     machines: BTreeSet<&'a Name>,
 }
 
-impl<'a> Size<'a> {
-    fn add(&mut self, key: &'a TaskKey, place: Option<&'a Place>, reruns: bool, addr_len: impl Fn(&Name) -> usize) {
+impl<'a> SizeBound<'a> {
+    fn add(&mut self, key: &'a TaskKey, placement: Option<&'a Place>, rerun: bool, addr_len: impl Fn(&Name) -> usize) {
         if self.jobs.insert(&key.0) {
             self.bytes += 64 + key.0.len();
         }
-        // A task's number twice, an attempt and the index of a machine.
-        self.bytes += 16 + if reruns { RERUNS_BYTES } else { 0 };
-        if let Some(place) = place {
+        // The task's number twice, an attempt and the index of a machine.
+        self.bytes += 16 + if rerun { MAX_RERUN_COUNT_BYTES } else { 0 };
+        if let Some(placement) = placement {
             self.bytes += 28;
-            if self.machines.insert(&place.machine) {
-                self.bytes += 8 + place.machine.len() + addr_len(&place.machine);
+            if self.machines.insert(&placement.machine) {
+                self.bytes += 8 + placement.machine.len() + addr_len(&placement.machine);
             }
         }
     }
 }
 
 impl Term {
-    /// Puts what changed into the last segment, or a new one where it does not fit.
+    /// Writes changed tasks into the open segment, or into a new one if they do not fit.
     pub(super) fn write_segment(
         &mut self,
         env: &Env,
         txn: &mut Txn,
         batch: &mut Batch,
-        conditioned: &mut BTreeSet<Name>,
+        guarded_jobs: &mut BTreeSet<Name>,
     ) {
-        let room = env.facts.value_bytes.saturating_sub(SPARE);
-        let most_conditions = env.facts.txn_ops * 4 - 1;
-        let open = |name: &Name| self.jobs.get(name).filter(|job| !job.closing);
-        // No more than may fit: with tens of thousands of tasks to place, a look at all of them
-        // for each transaction would take the processor.
-        let waiting = self.records.placed.iter().map(|(_, key)| key).chain(&self.records.changed);
-        let looked_at: Vec<TaskKey> = waiting.take(env.facts.value_bytes / LEAST_BYTES).cloned().collect();
-        let (due, over): (Vec<_>, Vec<_>) = looked_at.into_iter().partition(|key| open(&key.0).is_some());
+        let max_bytes = env.facts.value_bytes.saturating_sub(RESERVED_VALUE_BYTES);
+        let max_conditions = env.facts.txn_ops * 4 - 1;
+        let open_job = |name: &Name| self.jobs.get(name).filter(|job| !job.closing);
+        // Only as many as may fit: with tens of thousands of tasks to place, examining all of them
+        // for each transaction would use too much CPU time.
+        let unwritten = self.records.new_placements.iter().map(|(_, key)| key).chain(&self.records.changed_tasks);
+        let candidates: Vec<TaskKey> = unwritten.take(env.facts.value_bytes / MIN_TASK_BYTES).cloned().collect();
+        let (due, over): (Vec<_>, Vec<_>) = candidates.into_iter().partition(|key| open_job(&key.0).is_some());
         let others_unwritten = self.zones_unwritten() || !self.moves_unwritten().is_empty();
         let records = &mut self.records;
-        // What is over needs no record.
-        over.iter().for_each(|key| records.settled(key));
-        if due.is_empty() && !records.doubt && !others_unwritten {
+        // Tasks of finished jobs need no record.
+        over.iter().for_each(|key| records.mark_written(key));
+        if due.is_empty() && !records.outcome_unknown && !others_unwritten {
             return;
         }
         let jobs = &self.jobs;
         let machines = &self.machines;
         let addr_len = |name: &Name| machines.get(name).map_or(0, |m| m.addr.len());
-        let place_of = |key: &TaskKey| jobs.get(&key.0).and_then(|job| job.places.get(&key.1));
-        let reran = |key: &TaskKey| jobs.get(&key.0).is_some_and(|job| job.zone_reruns.contains_key(&key.1));
-        records.last.tasks.retain(|key| jobs.get(&key.0).is_some_and(|job| !job.closing));
-        let mut size = Size::default();
-        let kept: Vec<&TaskKey> = records.last.tasks.iter().filter(|key| records.is_durable(key)).collect();
-        kept.iter().for_each(|key| size.add(key, place_of(key), reran(key), addr_len));
-        let mut whole = Size { bytes: size.bytes, jobs: size.jobs.clone(), machines: size.machines.clone() };
-        due.iter().for_each(|key| whole.add(key, place_of(key), reran(key), addr_len));
+        let placement_of = |key: &TaskKey| jobs.get(&key.0).and_then(|job| job.places.get(&key.1));
+        let was_rerun = |key: &TaskKey| jobs.get(&key.0).is_some_and(|job| job.zone_reruns.contains_key(&key.1));
+        records.open_segment.tasks.retain(|key| jobs.get(&key.0).is_some_and(|job| !job.closing));
+        let mut size = SizeBound::default();
+        let retained: Vec<&TaskKey> = records.open_segment.tasks.iter().filter(|key| records.is_durable(key)).collect();
+        retained.iter().for_each(|key| size.add(key, placement_of(key), was_rerun(key), addr_len));
+        let mut combined = SizeBound { bytes: size.bytes, jobs: size.jobs.clone(), machines: size.machines.clone() };
+        due.iter().for_each(|key| combined.add(key, placement_of(key), was_rerun(key), addr_len));
         let mut tasks: BTreeSet<TaskKey>;
-        // What fitted into the last segment but for the margin would wait for ever.
-        let full = whole.bytes > room || records.last.full;
-        if full && !records.doubt && records.last.version > 0 {
-            let (number, version) = (records.last.number, records.last.version);
-            let sealed = std::mem::take(&mut records.last.tasks);
+        // Without `full`, a task that fits but for the margin of `MAX_TASK_BYTES` would wait forever.
+        let full = combined.bytes > max_bytes || records.open_segment.full;
+        if full && !records.outcome_unknown && records.open_segment.version > 0 {
+            let (number, version) = (records.open_segment.number, records.open_segment.version);
+            let sealed = std::mem::take(&mut records.open_segment.tasks);
             tasks = BTreeSet::new();
-            size = Size::default();
-            records.sealed.push_back(Sealed { number, version, tasks: sealed });
-            records.last = Segment { number: number + 1, ..Segment::default() };
+            size = SizeBound::default();
+            records.sealed_segments.push_back(SealedSegment { number, version, tasks: sealed });
+            records.open_segment = OpenSegment { number: number + 1, ..OpenSegment::default() };
         } else {
-            tasks = kept.into_iter().cloned().collect();
+            tasks = retained.into_iter().cloned().collect();
         }
         for key in &due {
-            let place = place_of(key);
-            let planned = place.is_some_and(|place| place.stage == Stage::Planned);
-            let full = txn.conditions.len() >= most_conditions;
-            if size.bytes + MARGIN + key.0.len() > room || (planned && full && !conditioned.contains(&key.0)) {
+            let placement = placement_of(key);
+            let planned = placement.is_some_and(|placement| placement.stage == Stage::Planned);
+            let full = txn.conditions.len() >= max_conditions;
+            if size.bytes + MAX_TASK_BYTES + key.0.len() > max_bytes
+                || (planned && full && !guarded_jobs.contains(&key.0))
+            {
                 continue;
             }
-            size.add(key, place, reran(key), addr_len);
+            size.add(key, placement, was_rerun(key), addr_len);
             batch.placed |= planned;
-            if planned && conditioned.insert(key.0.clone()) {
+            if planned && guarded_jobs.insert(key.0.clone()) {
                 *txn = std::mem::take(txn).when(job_key(&key.0), jobs[&key.0].version);
             }
-            batch.tasks.push((key.clone(), place.map(|place| place.attempt)));
+            batch.tasks.push((key.clone(), placement.map(|placement| placement.attempt)));
             tasks.insert(key.clone());
         }
-        records.last.full = !due.is_empty() && batch.tasks.is_empty();
+        records.open_segment.full = !due.is_empty() && batch.tasks.is_empty();
         let value = serde_json::to_value(render(jobs, &tasks, |m| {
             machines.get(m).map(|machine| machine.addr.clone()).unwrap_or_default()
         }));
-        let key = segment_key(records.last.number);
-        let next = std::mem::take(txn).when(key.clone(), records.last.version);
-        *txn = next.put(key, value.expect("records always encode"));
-        records.last.tasks = tasks;
+        let key = segment_key(records.open_segment.number);
+        let guarded = std::mem::take(txn).when(key.clone(), records.open_segment.version);
+        *txn = guarded.put(key, value.expect("records always encode"));
+        records.open_segment.tasks = tasks;
         batch.segment = true;
         for (key, _) in &batch.tasks {
-            records.settled(key);
-            records.flying.insert(key.clone());
+            records.mark_written(key);
+            records.tasks_in_flight.insert(key.clone());
         }
     }
 
-    /// Writes the open moves, beside the marks of their tasks. Only beside a write of the last segment,
-    /// which keeps a late copy of this transaction from being applied.
+    /// Writes the open moves together with the states of their tasks. Does so only along with a write
+    /// of the open segment, whose version condition keeps a late copy of this transaction from being
+    /// applied.
     pub(super) fn write_moves(&mut self, env: &Env, txn: &mut Txn, batch: &mut Batch) {
         if !batch.segment {
             return;
         }
-        let here: BTreeSet<TaskKey> = batch.tasks.iter().map(|(key, _)| key.clone()).collect();
-        let waiting = std::mem::take(&mut self.records.changed);
+        let in_this_txn: BTreeSet<TaskKey> = batch.tasks.iter().map(|(key, _)| key.clone()).collect();
+        let unwritten = std::mem::take(&mut self.records.changed_tasks);
         for part in self.moves_unwritten() {
-            let full = (txn.writes.len() + 1) * env.facts.value_bytes > TXN_BYTES;
+            let full = (txn.writes.len() + 1) * env.facts.value_bytes > MAX_TXN_BYTES;
             if txn.writes.len() >= env.facts.txn_ops || full {
                 break;
             }
-            let record = self.moves_record(part, |key| here.contains(key) || !waiting.contains(key));
+            let record = self.moves_record(part, |key| in_this_txn.contains(key) || !unwritten.contains(key));
             let Some((record, booked)) = record else { continue };
             let value = serde_json::to_value(record).expect("records always encode");
             *txn = std::mem::take(txn).put(record_key(part), value);
             batch.moves.push(part);
             batch.booked.extend(booked);
         }
-        self.records.changed = waiting;
+        self.records.changed_tasks = unwritten;
     }
 
-    /// Whether a page of a sealed segment must be written before the segment can go.
-    fn ungathered(&self, version: u64, name: &Name, page: u32) -> bool {
+    /// Whether a page must be written before a sealed segment of this version can be deleted.
+    fn needs_compaction(&self, version: u64, name: &Name, page: u32) -> bool {
         let job = self.jobs.get(name);
-        job.is_some_and(|job| job.pages.get(&page).is_none_or(|written| *written < version))
+        job.is_some_and(|job| job.pages.get(&page).is_none_or(|page_version| *page_version < version))
     }
 
-    /// Writes pages of the oldest segment while there are many, and deletes it once all
-    /// that it names stands elsewhere. Only beside a write of the last segment, which
-    /// keeps a late copy of this transaction from being applied. What does not fit into a page
-    /// is written into the log once more, from segments that are half empty or more.
-    pub(super) fn gather(&mut self, env: &Env, txn: &mut Txn, batch: &mut Batch) {
-        while let Some(mut oldest) = self.records.sealed.pop_front() {
+    /// Writes pages for the oldest segment while there are too many, and deletes a segment once all
+    /// its tasks are recorded elsewhere. Pages are written only along with the open segment, whose
+    /// version condition keeps a late copy of this transaction from being applied. Tasks whose page
+    /// is too large are written into the log again, from segments that are at least half empty.
+    pub(super) fn compact_log(&mut self, env: &Env, txn: &mut Txn, batch: &mut Batch) {
+        while let Some(mut oldest) = self.records.sealed_segments.pop_front() {
             let version = oldest.version;
-            oldest.tasks.retain(|(name, task)| self.ungathered(version, name, task / PAGE));
+            oldest.tasks.retain(|(name, task)| self.needs_compaction(version, name, task / PAGE));
             if !oldest.tasks.is_empty() {
-                self.records.sealed.push_front(oldest);
+                self.records.sealed_segments.push_front(oldest);
                 break;
             }
             self.records.delete_key(segment_key(oldest.number));
         }
         let records = &mut self.records;
-        records.sealed.retain(|sealed| {
+        records.sealed_segments.retain(|sealed| {
             if sealed.tasks.is_empty() {
-                records.drops.push_back(segment_key(sealed.number));
+                records.keys_to_delete.push_back(segment_key(sealed.number));
             }
             !sealed.tasks.is_empty()
         });
         if !batch.segment {
             return;
         }
-        let kept = segments_kept(env.facts.value_bytes);
-        for _ in 0..self.records.sealed.len().saturating_sub(kept).min(GATHERED) {
-            if !self.gather_oldest(env, txn, batch) {
+        let retained = retained_segments(env.facts.value_bytes);
+        for _ in 0..self.records.sealed_segments.len().saturating_sub(retained).min(MAX_COMPACTED_SEGMENTS) {
+            if !self.compact_oldest_segment(env, txn, batch) {
                 return;
             }
-            // What is left of it cannot be gathered now; the next may be.
-            self.records.sealed.rotate_left(1);
+            // The rest of it cannot be compacted now, but the next segment may be.
+            self.records.sealed_segments.rotate_left(1);
         }
     }
 
-    /// Writes the pages of the oldest segment; true if some are too large.
-    fn gather_oldest(&mut self, env: &Env, txn: &mut Txn, batch: &mut Batch) -> bool {
-        let room = env.facts.value_bytes.saturating_sub(SPARE);
-        let Some(oldest) = self.records.sealed.front() else { return false };
-        // Else the same tasks would be written round and round; and only where nobody waits for
-        // this transaction, since what is written again takes changes from those who do.
+    /// Writes the pages of the oldest segment. Returns whether some of them are too large.
+    fn compact_oldest_segment(&mut self, env: &Env, txn: &mut Txn, batch: &mut Batch) -> bool {
+        let max_bytes = env.facts.value_bytes.saturating_sub(RESERVED_VALUE_BYTES);
+        let Some(oldest) = self.records.sealed_segments.front() else { return false };
+        // Otherwise the same tasks would be rewritten endlessly. Done only if nothing waits for this
+        // transaction, because rewritten tasks use up the space of urgent changes.
         let idle = batch.closed.is_empty() && !batch.placed;
-        let sparse = idle && oldest.tasks.len() * TASK_BYTES < env.facts.value_bytes / 2;
-        // The further behind, the more in one transaction.
-        let behind = self.records.sealed.len().saturating_sub(segments_kept(env.facts.value_bytes));
-        let most = (txn.writes.len() + 1 + behind).min(env.facts.txn_ops);
+        let may_rewrite = idle && oldest.tasks.len() * TYPICAL_TASK_BYTES < env.facts.value_bytes / 2;
+        // The larger the backlog, the more pages go into one transaction.
+        let backlog = self.records.sealed_segments.len().saturating_sub(retained_segments(env.facts.value_bytes));
+        let max_writes = (txn.writes.len() + 1 + backlog).min(env.facts.txn_ops);
         let mut bytes = env.facts.value_bytes * txn.writes.len();
         let mut pages: Vec<(Name, u32)> = oldest.tasks.iter().map(|(name, task)| (name.clone(), task / PAGE)).collect();
         pages.dedup();
         pages.retain(|page| !batch.pages.contains(page));
-        let mut unfit: BTreeSet<(Name, u32)> = BTreeSet::new();
+        let mut oversized: BTreeSet<(Name, u32)> = BTreeSet::new();
         for (name, page) in pages {
             let Some(job) = self.jobs.get(&name).filter(|job| !job.closing) else {
                 continue;
@@ -209,26 +216,27 @@
             let record = job.page_record(page, |m| self.machines.get(m).map(|m| m.addr.clone()).unwrap_or_default());
             let value = serde_json::to_value(record).expect("records always encode");
             let size = value.to_string().len();
-            if size > room {
-                unfit.insert((name, page));
+            if size > max_bytes {
+                oversized.insert((name, page));
                 continue;
             }
-            if txn.writes.len() >= most || bytes + env.facts.value_bytes > TXN_BYTES {
+            if txn.writes.len() >= max_writes || bytes + env.facts.value_bytes > MAX_TXN_BYTES {
                 return false;
             }
             bytes += 200 + size;
             *txn = std::mem::take(txn).put(page_key(&name, page), value);
             batch.pages.push((name, page));
         }
-        let again = oldest.tasks.iter().filter(|(name, task)| sparse && unfit.contains(&(name.clone(), task / PAGE)));
-        for key in again.cloned().collect::<Vec<_>>() {
+        let rewritten =
+            oldest.tasks.iter().filter(|(name, task)| may_rewrite && oversized.contains(&(name.clone(), task / PAGE)));
+        for key in rewritten.cloned().collect::<Vec<_>>() {
             self.records.mark_changed(key, None);
         }
-        !unfit.is_empty()
+        !oversized.is_empty()
     }
 }
 
-/// The states of some tasks, as memory has them now.
+/// Returns a segment with the current states of the given tasks.
 fn render(jobs: &BTreeMap<Name, Job>, tasks: &BTreeSet<TaskKey>, addr_of: impl Fn(&Name) -> String) -> SegmentRecord {
     let mut record = SegmentRecord::default();
     let mut indices: BTreeMap<Name, usize> = BTreeMap::new();
@@ -238,12 +246,12 @@
             record.jobs.push(ChangedTasks { job: name.to_string(), ..ChangedTasks::default() });
         }
         let changed = record.jobs.last_mut().expect("pushed");
-        if let Some(place) = job.places.get(task) {
-            let index = *indices.entry(place.machine.clone()).or_insert_with(|| {
-                record.machines.push((place.machine.to_string(), addr_of(&place.machine)));
+        if let Some(placement) = job.places.get(task) {
+            let index = *indices.entry(placement.machine.clone()).or_insert_with(|| {
+                record.machines.push((placement.machine.to_string(), addr_of(&placement.machine)));
                 record.machines.len() - 1
             });
-            changed.places.push((*task, index, place.attempt));
+            changed.places.push((*task, index, placement.attempt));
         } else if job.is_done(*task) {
             changed.done.push(*task);
         } else {
--- a/crates/core/src/records/state.rs
+++ b/crates/core/src/records/state.rs
@@ -1,4 +1,4 @@
-//! What a leader holds of its records: which tasks' states must be written, and the segments of the log.
+//! The leader's bookkeeping of its records: the tasks whose states must be written, and the segments of the log.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Instant;
@@ -7,15 +7,17 @@
 
 use crate::jobs::{Name, TaskKey};
 
-/// When a new place is written.
+/// How urgently a new placement is written.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WritePriority {
-    /// A production service's: before all others.
+    /// A task of a production service, written before all others.
     ProductionService,
+    /// Any other task.
     Normal,
 }
 
 impl WritePriority {
+    /// Returns the priority for the tasks of a job.
     pub fn of(spec: &JobSpec) -> WritePriority {
         match (spec.kind, spec.priority) {
             (Kind::Service, Priority::Production) => WritePriority::ProductionService,
@@ -24,105 +26,115 @@
     }
 }
 
-/// The segment that is being written.
+/// The segment that is being extended with each write.
 #[derive(Default)]
-pub(super) struct Segment {
+pub(super) struct OpenSegment {
     pub(super) number: u64,
     pub(super) version: u64,
     pub(super) tasks: BTreeSet<TaskKey>,
-    /// No task that was due found room in it: the next one is begun.
+    /// No due task fitted into it, so the next segment is begun.
     pub(super) full: bool,
 }
 
-/// A segment that is full, or was left by an earlier leader.
-pub(super) struct Sealed {
+/// A segment that is no longer extended: it is full, or was written by an earlier leader.
+pub(super) struct SealedSegment {
     pub(super) number: u64,
     pub(super) version: u64,
-    /// Tasks of which no later segment has a newer state.
+    /// Tasks whose newest state is in this segment.
     pub(super) tasks: BTreeSet<TaskKey>,
 }
 
-/// The records of a term.
+/// What a leader has written and must write during its term.
 #[derive(Default)]
 pub(crate) struct Records {
-    /// Tasks whose new place waits to be durable, those of production services first.
-    pub(super) placed: BTreeSet<(bool, TaskKey)>,
-    /// Tasks with other changes.
-    pub(super) changed: BTreeSet<TaskKey>,
-    pub(super) flying: BTreeSet<TaskKey>,
-    pub(super) last: Segment,
-    pub(super) sealed: VecDeque<Sealed>,
-    pub(super) closing: VecDeque<Name>,
-    /// The same jobs, to be found at once among thousands.
-    pub(super) to_close: BTreeSet<Name>,
-    pub(super) drops: VecDeque<String>,
-    pub(super) in_flight: bool,
-    pub(super) sent: Option<Instant>,
-    pub(super) retry: Option<Instant>,
-    /// A transaction may still be applied: the last segment is read, then written.
-    pub(super) doubt: bool,
-    pub(super) read_segment: bool,
-    pub(super) read_jobs: BTreeSet<Name>,
-    pub(super) reading: usize,
+    /// Tasks whose new placement is not durable yet, those of production services (`false`) first.
+    pub(super) new_placements: BTreeSet<(bool, TaskKey)>,
+    /// Tasks with other unwritten changes.
+    pub(super) changed_tasks: BTreeSet<TaskKey>,
+    /// Tasks in the transaction that is in flight.
+    pub(super) tasks_in_flight: BTreeSet<TaskKey>,
+    pub(super) open_segment: OpenSegment,
+    pub(super) sealed_segments: VecDeque<SealedSegment>,
+    /// Jobs whose end must be written, in order.
+    pub(super) close_queue: VecDeque<Name>,
+    /// The same jobs, for fast lookup among thousands.
+    pub(super) queued_to_close: BTreeSet<Name>,
+    /// Obsolete keys.
+    pub(super) keys_to_delete: VecDeque<String>,
+    pub(super) write_in_flight: bool,
+    pub(super) last_write_at: Option<Instant>,
+    pub(super) retry_at: Option<Instant>,
+    /// A transaction may still be applied, so the open segment is read and then written.
+    pub(super) outcome_unknown: bool,
+    /// The open segment must be read because its version is uncertain.
+    pub(super) reread_segment: bool,
+    /// Jobs whose records must be read because their versions are uncertain.
+    pub(super) jobs_to_reread: BTreeSet<Name>,
+    pub(super) reads_in_flight: usize,
 }
 
 impl Records {
+    /// Marks a task's state as unwritten; `placed` is set if the task has a new placement.
     pub fn mark_changed(&mut self, key: TaskKey, placed: Option<WritePriority>) {
         match placed {
-            Some(turn) => {
-                self.changed.remove(&key);
-                self.placed.insert((turn == WritePriority::Normal, key));
+            Some(priority) => {
+                self.changed_tasks.remove(&key);
+                self.new_placements.insert((priority == WritePriority::Normal, key));
             }
-            None if self.waits(&key) => {}
+            None if self.placement_pending(&key) => {}
             None => {
-                self.changed.insert(key);
+                self.changed_tasks.insert(key);
             }
         }
     }
 
-    /// Whether a new place of the task waits to be durable.
-    pub(super) fn waits(&self, key: &TaskKey) -> bool {
-        [false, true].into_iter().any(|rest| self.placed.contains(&(rest, key.clone())))
+    /// Whether the task has a new placement that is not durable yet.
+    pub(super) fn placement_pending(&self, key: &TaskKey) -> bool {
+        [false, true].into_iter().any(|normal| self.new_placements.contains(&(normal, key.clone())))
     }
 
-    pub(super) fn settled(&mut self, key: &TaskKey) {
-        self.changed.remove(key);
-        self.placed.remove(&(false, key.clone()));
-        self.placed.remove(&(true, key.clone()));
+    /// Removes the task from the tasks to be written.
+    pub(super) fn mark_written(&mut self, key: &TaskKey) {
+        self.changed_tasks.remove(key);
+        self.new_placements.remove(&(false, key.clone()));
+        self.new_placements.remove(&(true, key.clone()));
     }
 
-    /// Whether a task's state is durable as it is.
+    /// Whether the task's current state is durable.
     pub fn is_durable(&self, key: &TaskKey) -> bool {
-        !self.changed.contains(key) && !self.waits(key) && !self.flying.contains(key)
+        !self.changed_tasks.contains(key) && !self.placement_pending(key) && !self.tasks_in_flight.contains(key)
     }
 
+    /// Queues a job's end to be written.
     pub fn queue_close(&mut self, job: &Name) {
-        if self.to_close.insert(job.clone()) {
-            self.closing.push_back(job.clone());
+        if self.queued_to_close.insert(job.clone()) {
+            self.close_queue.push_back(job.clone());
         }
     }
 
+    /// Removes and returns the next job whose end must be written.
     pub(super) fn next_to_close(&mut self) -> Option<Name> {
-        let name = self.closing.pop_front()?;
-        self.to_close.remove(&name);
+        let name = self.close_queue.pop_front()?;
+        self.queued_to_close.remove(&name);
         Some(name)
     }
 
+    /// Queues an obsolete key for deletion.
     pub fn delete_key(&mut self, key: String) {
-        self.drops.push_back(key);
+        self.keys_to_delete.push_back(key);
     }
 
-    /// Takes over a segment that an earlier leader left; they come in the order of writing.
+    /// Adds a segment written by an earlier leader. Segments must be added in the order in which they were written.
     pub fn add_inherited_segment(&mut self, number: u64, version: u64, tasks: BTreeSet<TaskKey>) {
-        self.last.number = self.last.number.max(number + 1);
-        self.newer(tasks.iter());
-        self.sealed.push_back(Sealed { number, version, tasks });
+        self.open_segment.number = self.open_segment.number.max(number + 1);
+        self.supersede(tasks.iter());
+        self.sealed_segments.push_back(SealedSegment { number, version, tasks });
     }
 
-    /// States of these tasks stand in a later segment now.
-    pub(super) fn newer<'a>(&mut self, tasks: impl Iterator<Item = &'a TaskKey>) {
+    /// Removes tasks from the sealed segments because a later segment contains newer states.
+    pub(super) fn supersede<'a>(&mut self, tasks: impl Iterator<Item = &'a TaskKey>) {
         for key in tasks {
-            for sealed in &mut self.sealed {
+            for sealed in &mut self.sealed_segments {
                 sealed.tasks.remove(key);
             }
         }
