--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -1,6 +1,6 @@
-//! A term: the tables of a leader, empty at its start, and how they are filled from the
-//! state service. Guards a takeover: until the records are read no order is given, and
-//! until a machine has seen our token nothing it says proves a task absent.
+//! A leader's term from its start to its periodic work: loading the state from the state service,
+//! ending jobs, and running what is due. For a safe takeover no order is sent before the records
+//! are loaded, and no report counts as evidence that a task is absent before the machine is fenced.
 
 mod load;
 
@@ -10,21 +10,28 @@
 use crate::jobs::*;
 use crate::term::Term;
 
-const RETRY: Duration = Duration::from_millis(250);
-const PASS_GAP: Duration = Duration::from_millis(50);
-const PASS_GAP_PER_JOB: Duration = Duration::from_micros(500);
-/// With tens of thousands of jobs a task would wait for the next pass for longer than for its image.
-const LONGEST_PASS_GAP: Duration = Duration::from_millis(2500);
-const LIVE: &str = "live/";
-const LOG: &str = "log/";
-const TASK: &str = "task/";
+/// Delay before a failed read or watch is repeated.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Minimum time between scheduling passes without any jobs.
+const MIN_PASS_INTERVAL: Duration = Duration::from_millis(50);
+/// Additional time between scheduling passes per unfinished job.
+const PASS_INTERVAL_PER_JOB: Duration = Duration::from_micros(500);
+/// With tens of thousands of jobs a task would otherwise wait longer for the next pass than for its image.
+const MAX_PASS_INTERVAL: Duration = Duration::from_millis(2500);
+/// Prefix of the keys of unfinished jobs.
+const LIVE_PREFIX: &str = "live/";
+/// Prefix of the keys of log segments.
+const LOG_PREFIX: &str = "log/";
+/// Prefix of the keys of task pages.
+const TASK_PREFIX: &str = "task/";
 
 impl Term {
+    /// Starts to load the records.
     pub fn start_loading(&mut self, env: &mut Env) {
-        self.read_on(env);
+        self.read_next_page(env);
     }
 
-    /// Stops all tasks of a job that is cancelled.
+    /// Stops all tasks of a cancelled job.
     pub fn stop_cancelled_job(&mut self, env: &mut Env, name: &Name) {
         let Some(job) = self.jobs.get_mut(name) else {
             return;
@@ -42,7 +49,7 @@
         self.close_if_over(name);
     }
 
-    /// Looks whether a job is over.
+    /// Queues the end of a job to be written if the job is over.
     pub fn close_if_over(&mut self, name: &Name) {
         let Some(job) = self.jobs.get(name) else {
             return;
@@ -54,7 +61,7 @@
         }
     }
 
-    /// Forgets a job whose end is durable.
+    /// Removes a job whose end is durable.
     pub fn forget_job(&mut self, name: &Name) {
         self.stops.job_ended(name);
         if let Some(job) = self.jobs.remove(name) {
@@ -73,14 +80,15 @@
         self.jobs_with_progress.remove(name);
     }
 
+    /// Runs periodic work.
     pub fn tick(&mut self, env: &mut Env) {
         let now = env.steady();
         if self.retry_at.is_some_and(|t| t <= now) {
             self.retry_at = None;
             if !self.ready() && !self.load_request_pending {
-                self.read_on(env);
+                self.read_next_page(env);
             } else if self.ready() {
-                self.watch(env);
+                self.watch_jobs(env);
             }
         }
         if !self.ready() {
@@ -101,16 +109,16 @@
         }
     }
 
-    /// Runs at the end of every input: places, writes and orders what has become due.
+    /// Runs after every input: places tasks, writes records and calls workers where due.
     pub fn run_due_work(&mut self, env: &mut Env) {
         if !self.ready() {
             return;
         }
         let now = env.steady();
         self.place_vacated(env);
-        // A pass looks at every unfinished job, so many jobs make passes rarer.
-        let gap = (PASS_GAP + PASS_GAP_PER_JOB * self.jobs.len() as u32).min(LONGEST_PASS_GAP);
-        if self.scheduling_due && self.last_pass_at.is_none_or(|t| now.duration_since(t) >= gap) {
+        // A pass examines every unfinished job, so it runs less often if there are many.
+        let interval = (MIN_PASS_INTERVAL + PASS_INTERVAL_PER_JOB * self.jobs.len() as u32).min(MAX_PASS_INTERVAL);
+        if self.scheduling_due && self.last_pass_at.is_none_or(|t| now.duration_since(t) >= interval) {
             self.scheduling_due = false;
             self.last_pass_at = Some(now);
             self.place_pass(env);
--- a/crates/core/src/recover/load.rs
+++ b/crates/core/src/recover/load.rs
@@ -1,4 +1,4 @@
-//! How a leader fills its tables: it reads the jobs, the log and the pages, and then watches the jobs.
+//! Loads a leader's state: reads the jobs, the log and the pages, and then watches the jobs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -14,22 +14,25 @@
 use crate::jobs::*;
 use crate::quota::Room;
 
-use super::{LIVE, LOG, RETRY, TASK};
+use super::{LIVE_PREFIX, LOG_PREFIX, RETRY_DELAY, TASK_PREFIX};
 use crate::term::{LoadStage, Term};
 
 impl Term {
-    pub(super) fn read_on(&mut self, env: &mut Env) {
+    /// Requests the next page of records, or marks loading as idle if all are read.
+    pub(super) fn read_next_page(&mut self, env: &mut Env) {
         self.load_request_pending = true;
         if matches!(&self.load_stage, LoadStage::Jobs { after } if after.is_empty()) {
             self.job_read_started_at = env.steady();
         }
         let (call, op) = match &self.load_stage {
-            LoadStage::Jobs { after } => (LoadCall::Jobs, StoreOp::List { prefix: LIVE.into(), after: after.clone() }),
+            LoadStage::Jobs { after } => {
+                (LoadCall::Jobs, StoreOp::List { prefix: LIVE_PREFIX.into(), after: after.clone() })
+            }
             LoadStage::Segments { after } => {
-                (LoadCall::Segments, StoreOp::List { prefix: LOG.into(), after: after.clone() })
+                (LoadCall::Segments, StoreOp::List { prefix: LOG_PREFIX.into(), after: after.clone() })
             }
             LoadStage::Pages { after } => {
-                (LoadCall::Pages, StoreOp::List { prefix: TASK.into(), after: after.clone() })
+                (LoadCall::Pages, StoreOp::List { prefix: TASK_PREFIX.into(), after: after.clone() })
             }
             LoadStage::OpenMoves { after } => {
                 (LoadCall::OpenMoves, StoreOp::List { prefix: RECORD_PREFIX.into(), after: after.clone() })
@@ -40,27 +43,27 @@
                 return;
             }
         };
-        // Until the jobs are read no worker is answered.
+        // No report is answered before the jobs are loaded.
         let urgency = if matches!(call, LoadCall::Jobs) { Urgency::Leadership } else { Urgency::High };
         env.call_store(Purpose::Load(call), urgency, op);
     }
 
-    /// The watch is renewed as often as the lease, since what it shows bounds what may be
-    /// answered just as a renewal does.
-    pub(super) fn watch(&mut self, env: &mut Env) {
+    /// Opens a watch on the unfinished jobs. It is renewed as often as the leader's lease, because
+    /// reports may be answered only while both are recent.
+    pub(super) fn watch_jobs(&mut self, env: &mut Env) {
         if !self.watch_pending {
             self.watch_pending = true;
             let sent = env.steady();
             let wait_ms = env.policy.leader_lease.as_millis() as u64 / 3;
-            let op = StoreOp::Watch { prefix: LIVE.into(), after: self.watch_revision, wait_ms };
+            let op = StoreOp::Watch { prefix: LIVE_PREFIX.into(), after: self.watch_revision, wait_ms };
             env.call_store(Purpose::Load(LoadCall::Watch { sent }), Urgency::Leadership, op);
         }
     }
 
-    /// A read of the records, or the watch, has an outcome.
+    /// Handles the outcome of a read of records or of the watch.
     pub fn load_outcome(&mut self, env: &mut Env, call: LoadCall, outcome: Outcome<StoreResponse>) {
         match (call, outcome) {
-            (LoadCall::Watch { sent }, outcome) => self.watched(env, sent, outcome),
+            (LoadCall::Watch { sent }, outcome) => self.watch_outcome(env, sent, outcome),
             (LoadCall::Awaited(job), outcome) => self.awaited_read(env, job, outcome),
             (LoadCall::Failover, Outcome::Responded(StoreResponse::Item(item))) => {
                 self.load_request_pending = false;
@@ -70,24 +73,25 @@
             (call, Outcome::Responded(StoreResponse::Page(page))) => {
                 self.load_request_pending = false;
                 match call {
-                    LoadCall::Jobs => self.jobs_read(env, page),
-                    LoadCall::Segments => self.segments_read(env, page),
-                    LoadCall::OpenMoves => self.moves_read(env, page),
-                    _ => self.pages_read(env, page),
+                    LoadCall::Jobs => self.jobs_loaded(env, page),
+                    LoadCall::Segments => self.segments_loaded(env, page),
+                    LoadCall::OpenMoves => self.moves_loaded(env, page),
+                    _ => self.pages_loaded(env, page),
                 }
             }
             _ => {
                 self.load_request_pending = false;
-                self.retry_at = Some(env.steady() + RETRY);
+                self.retry_at = Some(env.steady() + RETRY_DELAY);
             }
         }
     }
 
-    fn jobs_read(&mut self, env: &mut Env, page: Page) {
+    /// Handles a page of unfinished jobs.
+    fn jobs_loaded(&mut self, env: &mut Env, page: Page) {
         if matches!(&self.load_stage, LoadStage::Jobs { after } if after.is_empty()) {
             self.watch_revision = page.revision;
         }
-        let next = next_page(&page);
+        let next = next_list_key(&page);
         for Item { key, value, version } in page.rows {
             self.apply_live_record(env, &key, value, version);
         }
@@ -96,67 +100,71 @@
         }
         self.load_stage = match next {
             Some(after) => LoadStage::Jobs { after },
-            // Only the jobs were read again; all else is ours alone to write.
+            // Only the jobs were read again; all other records are written by this leader alone.
             None if self.load_complete => LoadStage::Ready,
             None => LoadStage::Segments { after: String::new() },
         };
         if self.ready() {
             self.scheduling_due = true;
-            self.watch(env);
+            self.watch_jobs(env);
         } else {
-            self.read_on(env);
+            self.read_next_page(env);
         }
     }
 
-    fn segments_read(&mut self, env: &mut Env, page: Page) {
-        let next = next_page(&page);
-        page.rows.into_iter().for_each(|item| self.segment_read(item));
+    /// Handles a page of log segments.
+    fn segments_loaded(&mut self, env: &mut Env, page: Page) {
+        let next = next_list_key(&page);
+        page.rows.into_iter().for_each(|item| self.load_segment(item));
         self.load_stage = match next {
             Some(after) => LoadStage::Segments { after },
             None => LoadStage::Pages { after: String::new() },
         };
-        self.read_on(env);
+        self.read_next_page(env);
     }
 
-    fn pages_read(&mut self, env: &mut Env, page: Page) {
-        let next = next_page(&page);
-        page.rows.into_iter().for_each(|item| self.page_read(item));
+    /// Handles a page of task pages.
+    fn pages_loaded(&mut self, env: &mut Env, page: Page) {
+        let next = next_list_key(&page);
+        page.rows.into_iter().for_each(|item| self.load_page(item));
         match next {
             Some(after) => {
                 self.load_stage = LoadStage::Pages { after };
-                self.read_on(env);
+                self.read_next_page(env);
             }
             None if self.balancer.is_some() => {
                 self.load_stage = LoadStage::OpenMoves { after: String::new() };
-                self.read_on(env);
+                self.read_next_page(env);
             }
-            None => self.read_zones(env),
+            None => self.load_zones(env),
         }
     }
 
-    fn moves_read(&mut self, env: &mut Env, page: Page) {
-        let next = next_page(&page);
-        page.rows.into_iter().for_each(|item| self.open_moves_read(item));
+    /// Handles a page of the record of open moves.
+    fn moves_loaded(&mut self, env: &mut Env, page: Page) {
+        let next = next_list_key(&page);
+        page.rows.into_iter().for_each(|item| self.load_open_moves(item));
         match next {
             Some(after) => {
                 self.load_stage = LoadStage::OpenMoves { after };
-                self.read_on(env);
+                self.read_next_page(env);
             }
-            None => self.read_zones(env),
+            None => self.load_zones(env),
         }
     }
 
-    /// The last of the records: what an earlier leader knew of zones.
-    fn read_zones(&mut self, env: &mut Env) {
+    /// Requests the record of zone failover, which is the last one.
+    fn load_zones(&mut self, env: &mut Env) {
         if self.failover.is_none() {
             self.complete_load(env);
             return;
         }
         self.load_stage = LoadStage::Failover;
-        self.read_on(env);
+        self.read_next_page(env);
     }
 
-    fn watched(&mut self, env: &mut Env, sent: Instant, outcome: Outcome<StoreResponse>) {
+    /// Handles the outcome of the watch on unfinished jobs.
+    fn watch_outcome(&mut self, env: &mut Env, sent: Instant, outcome: Outcome<StoreResponse>) {
         self.watch_pending = false;
         match outcome {
             Outcome::Responded(StoreResponse::Changes(changes)) => {
@@ -167,60 +175,63 @@
                         self.apply_live_record(env, &key, value, version);
                     }
                 }
-                self.watch(env);
+                self.watch_jobs(env);
             }
             Outcome::Responded(StoreResponse::Compacted) => {
-                // What is read again is merged into what is known.
+                // The jobs are read again and merged into the state in memory.
                 self.load_stage = LoadStage::Jobs { after: String::new() };
-                self.read_on(env);
+                self.read_next_page(env);
             }
-            _ => self.retry_at = Some(env.steady() + RETRY),
+            _ => self.retry_at = Some(env.steady() + RETRY_DELAY),
         }
     }
 
-    fn page_read(&mut self, item: Item) {
+    /// Keeps a task page until all records are loaded.
+    fn load_page(&mut self, item: Item) {
         let Some((id, page)) = parse_page_key(&item.key) else {
             return;
         };
         let id = Name::from(id);
         match serde_json::from_value::<PageRecord>(item.value) {
             Ok(record) => self.loaded_pages.push((id, page, item.version, record)),
-            Err(error) => tracing::error!(key = item.key, %error, "a record cannot be read"),
+            Err(error) => tracing::error!(key = item.key, %error, "malformed record"),
         }
     }
 
-    fn segment_read(&mut self, item: Item) {
+    /// Keeps a log segment until all records are loaded.
+    fn load_segment(&mut self, item: Item) {
         let Some(number) = parse_segment_key(&item.key) else {
             return;
         };
         match serde_json::from_value::<SegmentRecord>(item.value) {
             Ok(record) => self.loaded_segments.push((number, item.version, record)),
-            Err(error) => tracing::error!(key = item.key, %error, "a record cannot be read"),
+            Err(error) => tracing::error!(key = item.key, %error, "malformed record"),
         }
     }
 
-    fn open_moves_read(&mut self, item: Item) {
+    /// Keeps a part of the record of open moves until all records are loaded.
+    fn load_open_moves(&mut self, item: Item) {
         let Some(part) = item.key.strip_prefix(RECORD_PREFIX).and_then(|part| part.parse().ok()) else {
             return;
         };
         match serde_json::from_value(item.value) {
             Ok(record) => self.loaded_moves.push((part, record)),
-            Err(error) => tracing::error!(key = item.key, %error, "a record cannot be read"),
+            Err(error) => tracing::error!(key = item.key, %error, "malformed record"),
         }
     }
 
-    /// All is read: the tables are put together, and the leader begins to act.
+    /// Builds the leader's state from the loaded records and begins to act.
     fn complete_load(&mut self, env: &mut Env) {
         self.load_stage = LoadStage::Ready;
         self.load_complete = true;
         let addresses = self.adopt_records(env.steady());
-        self.hold_places(env.steady(), &addresses);
+        self.apply_placements(env.steady(), &addresses);
         self.adopt_moves(env);
         for name in self.jobs.keys().cloned().collect::<Vec<_>>() {
             self.link(env, &name);
         }
         for name in self.jobs.keys().cloned().collect::<Vec<_>>() {
-            // A leader that fell between a cancellation and its stops leaves them to us.
+            // An earlier leader may have failed between a cancellation and its stops.
             if self.jobs[&name].cancelled {
                 self.job_cancelled(env, &name);
             }
@@ -229,21 +240,21 @@
         self.machines_inherited = !self.machines.is_empty();
         let places: usize = self.jobs.values().map(|j| j.places.len()).sum();
         tracing::info!(jobs = self.jobs.len(), places, machines = self.machines.len(), "records read");
-        // Machines that hold services are shown the token at once.
+        // Machines that run services are fenced at once.
         let hosts: Vec<Name> = self.machines.values().filter(|m| m.hosts_service()).map(|m| m.name.clone()).collect();
         hosts.iter().for_each(|name| self.call_soon(name));
         self.scheduling_due = true;
-        self.watch(env);
+        self.watch_jobs(env);
     }
 
-    /// Takes over pages, then segments in the order in which they were last written, so that the
-    /// newest state of a task stays; returns the addresses of the machines that they name.
+    /// Applies the pages, then the segments in the order in which they were last written, so that the
+    /// newest state of each task wins. Returns the addresses of the machines in these records.
     fn adopt_records(&mut self, now: Instant) -> BTreeMap<String, String> {
         let mut addresses: BTreeMap<String, String> = BTreeMap::new();
         for (id, page, version, record) in std::mem::take(&mut self.loaded_pages) {
             match self.jobs.get_mut(&id) {
                 Some(job) => job.adopt_page(page, version, &record, now),
-                // Its job is over; the page was left when the leader changed.
+                // The job is over; the page was left over from a change of leader.
                 None => self.records.delete_key(page_key(&id, page)),
             }
             addresses.extend(record.machines);
@@ -265,14 +276,14 @@
         addresses
     }
 
-    /// Puts the places of the records on their machines, and into their teams' use.
-    fn hold_places(&mut self, now: Instant, addresses: &BTreeMap<String, String>) {
+    /// Assigns the loaded placements to their machines and counts them in their teams' usage.
+    fn apply_placements(&mut self, now: Instant, addresses: &BTreeMap<String, String>) {
         for (id, job) in &mut self.jobs {
             job.settle(now);
-            // What a job has had is not recorded; one with nothing counts from its submission.
+            // The time of a job's last placement is not recorded; a job without any counts from its submission.
             job.served = (!job.places.is_empty() || job.done_count > 0).then_some(now);
-            for (task, place) in &job.places {
-                let name = &place.machine;
+            for (task, placement) in &job.places {
+                let name = &placement.machine;
                 let machine = self.machines.entry(name.clone()).or_insert_with(|| {
                     let address = addresses.get(&**name).cloned().unwrap_or_default();
                     Machine::inherited(name.clone(), address, now)
@@ -287,14 +298,15 @@
         }
     }
 
+    /// Adds a new job or applies a change of its record, such as a cancellation.
     fn apply_live_record(&mut self, env: &mut Env, key: &str, value: serde_json::Value, version: u64) {
-        let Some(id) = key.strip_prefix(LIVE) else {
+        let Some(id) = key.strip_prefix(LIVE_PREFIX) else {
             return;
         };
         let record: LiveRecord = match serde_json::from_value(value) {
             Ok(record) => record,
             Err(error) => {
-                tracing::error!(key, %error, "a record cannot be read");
+                tracing::error!(key, %error, "malformed record");
                 return;
             }
         };
@@ -321,7 +333,7 @@
                 self.renting.saw_job(&record.spec);
                 let job = Job::new(record.spec, record.at_ms, version, record.cancelled);
                 self.jobs.insert(name.clone(), job);
-                // While all is read for the first time, what it awaits may come later.
+                // During the first load its dependencies may be read later.
                 if self.load_complete {
                     self.link(env, &name);
                 }
@@ -334,7 +346,7 @@
     }
 }
 
-/// After which key the next page of a list begins, if there is one.
-fn next_page(page: &Page) -> Option<String> {
+/// Returns the key after which the next page of a list begins, if there is one.
+fn next_list_key(page: &Page) -> Option<String> {
     page.rows.last().filter(|_| page.more).map(|row| row.key.clone())
 }
