--- a/crates/core/src/election.rs
+++ b/crates/core/src/election.rs
@@ -1,9 +1,9 @@
-//! Leadership: one key on a short lease of the state service. Its version is the token
-//! (`token`) under which the leader writes to the store and commands the workers.
+//! Leader election: the leader holds one key with a short lease in the state service. The key's
+//! version is the fencing token (`token`) for the leader's writes to the store and its orders.
 //!
-//! Guards against two leads acting at once: every write of a leader names the key's
-//! version, workers drop older tokens, and a leader that the store no longer confirms
-//! stops answering reports after a known time (`self_fencing_timeout`).
+//! Two leaders never act at once: every write of a leader has the key's version as a condition,
+//! workers reject older tokens, and a leader whose lease is no longer confirmed stops responding
+//! to reports after a known time (`self_fencing_timeout`).
 
 pub(crate) mod state;
 
@@ -13,34 +13,40 @@
 
 use crate::calls::{ElectionCall, Purpose};
 use crate::io::{Outcome, StoreOp, StoreResponse, Urgency};
-use crate::node::{Node, REST};
-use state::{Holder, LEADER_KEY, Phase};
+use crate::node::{CANDIDACY_PAUSE, Node};
+use state::{LEADER_KEY, Leader, Phase};
 
-const WATCH_MS: u64 = 20_000;
-const RETRY: Duration = Duration::from_millis(300);
-const HEARD: Duration = Duration::from_secs(8);
-const COURTESY: Duration = Duration::from_millis(200);
+/// How long a watch on the leader key waits for a change.
+const WATCH_WAIT_MS: u64 = 20_000;
+/// Delay before a failed call is repeated.
+const RETRY_DELAY: Duration = Duration::from_millis(300);
+/// A node with a worker's report of at most this age is a candidate without delay.
+const RECENT_REPORT_AGE: Duration = Duration::from_secs(8);
+/// How long a node without recent reports leaves the candidacy to others.
+const CANDIDACY_DELAY: Duration = Duration::from_millis(200);
 
 impl Node {
-    pub(crate) fn election_lost(&mut self) {
+    /// Ends this node's lease, if it leads, and returns to reading the leader key.
+    pub(crate) fn release_leadership(&mut self) {
         let now = self.env.steady();
         if let Some(Phase::Leading { lease, .. }) = self.election.phase {
             self.env.call_store(Purpose::Election(ElectionCall::End), Urgency::Leadership, StoreOp::EndLease(lease));
         }
-        self.election.holder = None;
-        self.election.read_at(now + RETRY);
+        self.election.leader = None;
+        self.election.schedule_read(now + RETRY_DELAY);
     }
 
+    /// Reads the leader key or renews the lease, if either is due.
     pub(crate) fn election_tick(&mut self) {
         let now = self.env.steady();
         match &mut self.election.phase {
-            None => self.read_holder(),
-            Some(Phase::Unread { from }) if *from <= now => self.read_holder(),
-            // One that hangs is not waited for: it alone would take most of the lease's life.
-            Some(Phase::Leading { lease, touching, next_touch, .. })
-                if touching.map_or(*next_touch, |sent| sent + self.env.policy.leader_lease / 3) <= now =>
+            None => self.read_leader_key(),
+            Some(Phase::ReadDue { at }) if *at <= now => self.read_leader_key(),
+            // A renewal that hangs isn't waited for: it alone could take most of the lease's duration.
+            Some(Phase::Leading { lease, renewal_sent_at, next_renewal_at, .. })
+                if renewal_sent_at.map_or(*next_renewal_at, |sent| sent + self.env.policy.leader_lease / 3) <= now =>
             {
-                *touching = Some(now);
+                *renewal_sent_at = Some(now);
                 let lease = *lease;
                 self.env.call_store(
                     Purpose::Election(ElectionCall::Touch { sent: now }),
@@ -52,52 +58,55 @@
         }
     }
 
-    fn read_holder(&mut self) {
-        self.election.phase = Some(Phase::Busy);
+    /// Requests the current state of the leader key.
+    fn read_leader_key(&mut self) {
+        self.election.phase = Some(Phase::CallPending);
         let op = StoreOp::List { prefix: LEADER_KEY.into(), after: String::new() };
         self.env.call_store(Purpose::Election(ElectionCall::Read), Urgency::Leadership, op);
     }
 
-    fn watch_holder(&mut self, after: u64) {
-        if self.election.watching {
+    /// Opens a watch on the leader key, unless one is open.
+    fn watch_leader_key(&mut self, after: u64) {
+        if self.election.watch_open {
             return;
         }
-        self.election.watching = true;
-        let op = StoreOp::Watch { prefix: LEADER_KEY.into(), after, wait_ms: WATCH_MS };
+        self.election.watch_open = true;
+        let op = StoreOp::Watch { prefix: LEADER_KEY.into(), after, wait_ms: WATCH_WAIT_MS };
         self.env.call_store(Purpose::Election(ElectionCall::Watch), Urgency::Leadership, op);
     }
 
+    /// Handles the outcome of a call that concerns leadership.
     pub(crate) fn election_outcome(&mut self, call: ElectionCall, outcome: Outcome<StoreResponse>) {
         let now = self.env.steady();
         match (call, outcome) {
             (ElectionCall::Read, Outcome::Responded(StoreResponse::Page(page))) => {
-                self.watch_holder(page.revision);
-                if page.revision < self.election.seen {
-                    self.election.read_at(now);
+                self.watch_leader_key(page.revision);
+                if page.revision < self.election.watched_revision {
+                    self.election.schedule_read(now);
                 } else if !matches!(self.election.phase, Some(Phase::Leading { .. })) {
-                    self.holder_found(page.rows.into_iter().find(|row| row.key == LEADER_KEY));
+                    self.leader_key_read(page.rows.into_iter().find(|row| row.key == LEADER_KEY));
                 }
             }
             (ElectionCall::Watch, Outcome::Responded(StoreResponse::Changes(changes))) => {
-                self.election.watching = false;
-                self.watch_holder(changes.revision);
-                self.election.seen = self.election.seen.max(changes.revision);
+                self.election.watch_open = false;
+                self.watch_leader_key(changes.revision);
+                self.election.watched_revision = self.election.watched_revision.max(changes.revision);
                 for event in changes.events {
-                    self.holder_event(event);
+                    self.leader_key_changed(event);
                 }
             }
             (ElectionCall::Watch, _) => {
-                self.election.watching = false;
+                self.election.watch_open = false;
                 if let Some(Phase::Leading { .. }) = self.election.phase {
-                    // Renewals and fenced writes tell a leader all it needs; the next
-                    // read after stepping down opens the watch again.
+                    // Renewals and conditional writes tell a leader all it needs. The next read
+                    // after stepping down opens the watch again.
                 } else {
-                    self.election.read_at(now + RETRY);
+                    self.election.schedule_read(now + RETRY_DELAY);
                 }
             }
-            (ElectionCall::DropOwn, Outcome::Responded(StoreResponse::Committed(_))) => self.compete(),
+            (ElectionCall::DropOwn, Outcome::Responded(StoreResponse::Committed(_))) => self.campaign(),
             (ElectionCall::Lease { sent }, Outcome::Responded(StoreResponse::Lease(lease))) => {
-                let value = serde_json::to_value(&self.election.me).expect("holders always encode");
+                let value = serde_json::to_value(&self.election.own_record).expect("leader records always encode");
                 let txn = Txn::default().when(LEADER_KEY, 0).put_leased(LEADER_KEY, value, lease);
                 self.env.call_store(
                     Purpose::Election(ElectionCall::Claim { lease, sent }),
@@ -106,83 +115,87 @@
                 );
             }
             (ElectionCall::Claim { lease, sent }, Outcome::Responded(StoreResponse::Committed(token))) => {
-                self.election.holder = Some(Holder { record: self.election.me.clone(), version: token });
-                let next_touch = now + self.env.policy.leader_lease / 3;
-                self.election.phase = Some(Phase::Leading { lease, confirmed: sent, touching: None, next_touch });
+                self.election.leader = Some(Leader { record: self.election.own_record.clone(), version: token });
+                let next_renewal_at = now + self.env.policy.leader_lease / 3;
+                self.election.phase =
+                    Some(Phase::Leading { lease, confirmed_at: sent, renewal_sent_at: None, next_renewal_at });
                 self.begin_term(token);
             }
             (ElectionCall::Claim { lease, .. }, Outcome::Responded(_)) => {
                 self.env.call_store(Purpose::Election(ElectionCall::End), Urgency::Low, StoreOp::EndLease(lease));
-                self.election.read_at(now);
+                self.election.schedule_read(now);
             }
-            (ElectionCall::Touch { sent }, outcome) => self.touched(sent, outcome),
+            (ElectionCall::Touch { sent }, outcome) => self.renewal_outcome(sent, outcome),
             (ElectionCall::End, _) => {}
-            // An unanswered claim may have been carried out, or may be yet: the key, once
-            // read, shows our label, and is dropped on its version like that of an
-            // earlier incarnation.
+            // A claim without a response may have been executed, or may still be. Once the key is
+            // read with this node's label, it is deleted like that of an earlier incarnation.
             (
                 ElectionCall::Read | ElectionCall::DropOwn | ElectionCall::Lease { .. } | ElectionCall::Claim { .. },
                 _,
             ) => {
                 if !matches!(self.election.phase, Some(Phase::Leading { .. })) {
-                    self.election.read_at(now + RETRY);
+                    self.election.schedule_read(now + RETRY_DELAY);
                 }
             }
         }
     }
 
-    fn touched(&mut self, sent: Instant, outcome: Outcome<StoreResponse>) {
+    /// Handles the outcome of a lease renewal.
+    fn renewal_outcome(&mut self, sent: Instant, outcome: Outcome<StoreResponse>) {
         let now = self.env.steady();
         let ttl = self.env.policy.leader_lease;
-        let Some(Phase::Leading { confirmed, touching, next_touch, .. }) = &mut self.election.phase else {
+        let Some(Phase::Leading { confirmed_at, renewal_sent_at, next_renewal_at, .. }) = &mut self.election.phase
+        else {
             return;
         };
-        let newest = *touching == Some(sent);
+        let newest = *renewal_sent_at == Some(sent);
         if newest {
-            *touching = None;
+            *renewal_sent_at = None;
         }
         match outcome {
             Outcome::Responded(StoreResponse::LeaseOk) => {
-                *confirmed = sent.max(*confirmed);
-                *next_touch = sent + ttl / 3;
+                *confirmed_at = sent.max(*confirmed_at);
+                *next_renewal_at = sent + ttl / 3;
                 if let Some(term) = &mut self.term
                     && term.lease_renewed(sent, ttl, &self.env.facts)
                 {
-                    self.step_down("the lease is renewed, but what users cancel is not heard");
-                    self.election.rest(now, REST);
+                    self.step_down("the lease is renewed, but cancellations cannot be read");
+                    self.election.delay_candidacy(now, CANDIDACY_PAUSE);
                 }
             }
-            Outcome::Responded(StoreResponse::NoSuchLease) => self.step_down("the lease has ended"),
-            _ if newest => *next_touch = now + RETRY,
+            Outcome::Responded(StoreResponse::NoSuchLease) => self.step_down("the leader's lease has expired"),
+            _ if newest => *next_renewal_at = now + RETRY_DELAY,
             _ => {}
         }
     }
 
-    fn holder_event(&mut self, event: Event) {
+    /// Handles a change of the leader key.
+    fn leader_key_changed(&mut self, event: Event) {
         match event {
             Event::Put { key, value, version } if key == LEADER_KEY => {
                 if self.token().is_some_and(|own| version > own) {
-                    self.step_down("the leader key has changed hands");
+                    self.step_down("another node holds the leader key");
                 } else if self.token().is_some() {
                     return;
                 }
-                if matches!(self.election.phase, Some(Phase::Following | Phase::Unread { .. })) {
-                    self.holder_found(Some(Item { key, value, version }));
+                if matches!(self.election.phase, Some(Phase::Following | Phase::ReadDue { .. })) {
+                    self.leader_key_read(Some(Item { key, value, version }));
                 }
             }
             Event::Delete { key, version } if key == LEADER_KEY => {
                 let now = self.env.steady();
                 if self.token().is_some_and(|own| version > own) {
-                    self.step_down("the leader key is gone");
+                    self.step_down("the leader key was deleted");
                     return;
                 }
                 if self.token().is_none() {
-                    self.election.holder = None;
-                    if matches!(self.election.phase, Some(Phase::Following | Phase::Unread { .. })) {
-                        // Workers whose leader is out of reach try the other nodes: one that
-                        // hears of none may be cut off from them too, and lets others go first.
-                        let heard = self.election.worker_seen.is_some_and(|t| now.duration_since(t) < HEARD);
-                        if heard { self.compete() } else { self.election.read_at(now + COURTESY) }
+                    self.election.leader = None;
+                    if matches!(self.election.phase, Some(Phase::Following | Phase::ReadDue { .. })) {
+                        // Workers that can't reach their leader try the other nodes. A node without
+                        // recent reports may be partitioned from them too, so others go first.
+                        let recent_report =
+                            self.election.last_worker_report.is_some_and(|t| now.duration_since(t) < RECENT_REPORT_AGE);
+                        if recent_report { self.campaign() } else { self.election.schedule_read(now + CANDIDACY_DELAY) }
                     }
                 }
             }
@@ -190,32 +203,34 @@
         }
     }
 
-    fn holder_found(&mut self, item: Option<Item>) {
-        let holder = item
-            .and_then(|item| Some(Holder { record: serde_json::from_value(item.value).ok()?, version: item.version }));
-        self.election.holder = holder;
-        match &self.election.holder {
-            None => self.compete(),
-            Some(holder) if holder.record.label == self.election.me.label => {
-                tracing::info!(version = holder.version, "dropping the leader key of an earlier incarnation");
-                let txn = Txn::default().when(LEADER_KEY, holder.version).delete(LEADER_KEY);
-                self.election.phase = Some(Phase::Busy);
+    /// Handles the current state of the leader key: follows, campaigns or deletes an own earlier key.
+    fn leader_key_read(&mut self, item: Option<Item>) {
+        let leader = item
+            .and_then(|item| Some(Leader { record: serde_json::from_value(item.value).ok()?, version: item.version }));
+        self.election.leader = leader;
+        match &self.election.leader {
+            None => self.campaign(),
+            Some(leader) if leader.record.label == self.election.own_record.label => {
+                tracing::info!(version = leader.version, "deleting the leader key of an earlier incarnation");
+                let txn = Txn::default().when(LEADER_KEY, leader.version).delete(LEADER_KEY);
+                self.election.phase = Some(Phase::CallPending);
                 self.env.call_store(Purpose::Election(ElectionCall::DropOwn), Urgency::Leadership, StoreOp::Txn(txn));
             }
-            Some(holder) => {
-                tracing::debug!(leader = holder.record.label, "following");
+            Some(leader) => {
+                tracing::debug!(leader = leader.record.label, "following");
                 self.election.phase = Some(Phase::Following);
             }
         }
     }
 
-    fn compete(&mut self) {
-        self.election.holder = None;
-        if let Some(until) = self.election.rests_until.filter(|until| *until > self.env.steady()) {
-            self.election.read_at(until);
+    /// Tries to become leader, unless this node must let others go first.
+    fn campaign(&mut self) {
+        self.election.leader = None;
+        if let Some(until) = self.election.no_candidacy_before.filter(|until| *until > self.env.steady()) {
+            self.election.schedule_read(until);
             return;
         }
-        self.election.phase = Some(Phase::Busy);
+        self.election.phase = Some(Phase::CallPending);
         let ttl_ms = self.env.policy.leader_lease.as_millis() as u64;
         let sent = self.env.steady();
         self.env.call_store(
--- a/crates/core/src/election/state.rs
+++ b/crates/core/src/election/state.rs
@@ -1,4 +1,4 @@
-//! What a node holds of leadership: who has the key, and how far it has come itself.
+//! A node's state in the leader election.
 
 use std::time::{Duration, Instant};
 
@@ -9,90 +9,97 @@
 /// The key that the leader holds.
 pub(crate) const LEADER_KEY: &str = "lead";
 
-/// What stands under the key.
+/// Value of the leader key.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub(super) struct HolderRecord {
+pub(super) struct LeaderRecord {
     pub(super) label: String,
     pub(super) incarnation: u64,
 }
 
-/// Who holds the key, and under which version.
+/// The current leader, and the version of its key.
 #[derive(Clone, Debug)]
-pub(super) struct Holder {
-    pub(super) record: HolderRecord,
+pub(super) struct Leader {
+    pub(super) record: LeaderRecord,
     pub(super) version: u64,
 }
 
-/// How far a node has come.
+/// A node's phase in the election.
 #[derive(Debug)]
 pub(super) enum Phase {
-    /// The key must be read (again) from this time on.
-    Unread { from: Instant },
-    /// A call is under way.
-    Busy,
-    /// Another node holds the key; a watch is open.
+    /// The leader key must be read once this time is reached.
+    ReadDue { at: Instant },
+    /// A call to the state service is in flight.
+    CallPending,
+    /// Another node leads; a watch on its key is open.
     Following,
+    /// This node leads.
     Leading {
         lease: u64,
-        confirmed: Instant,
-        /// When the newest renewal that is not answered yet was sent.
-        touching: Option<Instant>,
-        next_touch: Instant,
+        /// When the last confirmed renewal was sent.
+        confirmed_at: Instant,
+        /// When the newest renewal without an outcome was sent.
+        renewal_sent_at: Option<Instant>,
+        next_renewal_at: Instant,
     },
 }
 
 /// A node's side of the election.
 pub(crate) struct Election {
-    pub(super) me: HolderRecord,
+    pub(super) own_record: LeaderRecord,
     pub(super) phase: Option<Phase>,
-    pub(super) holder: Option<Holder>,
-    pub(super) watching: bool,
-    /// The newest change that a watch has told: an answer to a read may be older.
-    pub(super) seen: u64,
-    /// After giving way the node lets the others compete first.
-    pub(super) rests_until: Option<Instant>,
-    /// The last report of a worker to this node.
-    pub worker_seen: Option<Instant>,
+    pub(super) leader: Option<Leader>,
+    pub(super) watch_open: bool,
+    /// Newest revision seen by a watch; a read may return an older state.
+    pub(super) watched_revision: u64,
+    /// After stepping down the node lets the others be candidates until then.
+    pub(super) no_candidacy_before: Option<Instant>,
+    /// When a worker last reported to this node.
+    pub last_worker_report: Option<Instant>,
 }
 
 impl Election {
+    /// Returns the state of a node that has not read the leader key yet.
     pub fn new(label: String, incarnation: u64) -> Election {
         Election {
-            me: HolderRecord { label, incarnation },
+            own_record: LeaderRecord { label, incarnation },
             phase: None,
-            holder: None,
-            watching: false,
-            seen: 0,
-            rests_until: None,
-            worker_seen: None,
+            leader: None,
+            watch_open: false,
+            watched_revision: 0,
+            no_candidacy_before: None,
+            last_worker_report: None,
         }
     }
 
-    /// Whether a leader may still answer reports.
-    pub fn entitled(&self, now: Instant, facts: &Facts) -> bool {
+    /// Whether this node leads and its lease was confirmed recently enough to respond to reports.
+    pub fn may_respond_to_reports(&self, now: Instant, facts: &Facts) -> bool {
         match &self.phase {
-            Some(Phase::Leading { confirmed, .. }) => now.duration_since(*confirmed) <= facts.self_fencing_timeout(),
+            Some(Phase::Leading { confirmed_at, .. }) => {
+                now.duration_since(*confirmed_at) <= facts.self_fencing_timeout()
+            }
             _ => false,
         }
     }
 
-    /// The label of the node to which workers should go.
-    pub fn other_holder(&self) -> Option<String> {
-        let holder = self.holder.as_ref()?;
-        (holder.record.label != self.me.label).then(|| holder.record.label.clone())
+    /// Returns the label of the leader, if it is another node.
+    pub fn other_leader(&self) -> Option<String> {
+        let leader = self.leader.as_ref()?;
+        (leader.record.label != self.own_record.label).then(|| leader.record.label.clone())
     }
 
-    /// The token of the other node that leads.
-    pub fn other_token(&self) -> Option<u64> {
-        let holder = self.holder.as_ref()?;
-        (holder.record.label != self.me.label).then_some(holder.version)
+    /// Returns the token of the leader, if it is another node.
+    pub fn other_leader_token(&self) -> Option<u64> {
+        let leader = self.leader.as_ref()?;
+        (leader.record.label != self.own_record.label).then_some(leader.version)
     }
 
-    pub fn rest(&mut self, now: Instant, rest: Duration) {
-        self.rests_until = Some(now + rest);
+    /// Lets the other nodes be candidates for a while.
+    pub fn delay_candidacy(&mut self, now: Instant, pause: Duration) {
+        self.no_candidacy_before = Some(now + pause);
     }
 
-    pub(super) fn read_at(&mut self, from: Instant) {
-        self.phase = Some(Phase::Unread { from });
+    /// Schedules a read of the leader key.
+    pub(super) fn schedule_read(&mut self, at: Instant) {
+        self.phase = Some(Phase::ReadDue { at });
     }
 }
--- a/crates/core/src/node/machine_types.rs
+++ b/crates/core/src/node/machine_types.rs
@@ -1,5 +1,5 @@
-//! The types of machines that the cloud rents, kept in the state service for nodes that start while
-//! the cloud is down.
+//! The machine types that the cloud offers. They are also written to the state service for nodes that
+//! start while the cloud is down.
 
 use std::sync::Arc;
 
@@ -8,18 +8,18 @@
 use crate::calls::Purpose;
 use crate::io::*;
 
-use super::{Node, TYPES_KEY, TYPES_PERIOD, TYPES_RETRY};
+use super::{Node, TYPES_KEY, TYPES_REFRESH_INTERVAL, TYPES_RETRY_INTERVAL};
 
 impl Node {
-    /// A new set of machine types: the leader leaves it in the state service, so that a
-    /// node that starts while the cloud is down can still judge submissions.
-    pub(super) fn keep_types(&mut self, types: Vec<MachineType>) {
-        let first = self.env.machine_types.is_empty();
+    /// Applies a new set of machine types. The leader writes it to the state service, so that a node
+    /// that starts while the cloud is down can still validate submissions.
+    pub(super) fn store_machine_types(&mut self, types: Vec<MachineType>) {
+        let first_time = self.env.machine_types.is_empty();
         self.env.machine_types = Arc::new(types);
         if let Some(term) = &mut self.term {
             term.types_changed(&self.env);
         }
-        if first || self.term.is_some() {
+        if first_time || self.term.is_some() {
             let value = serde_json::to_value(&*self.env.machine_types).expect("types always encode");
             if value.to_string().len() > self.env.facts.value_bytes {
                 return;
@@ -29,18 +29,19 @@
         }
     }
 
+    /// Requests the machine types, if that is due.
     pub(super) fn types_tick(&mut self) {
         let now = self.env.steady();
         let period = match (self.env.machine_types.is_empty(), self.term.is_some()) {
-            (true, _) => TYPES_RETRY,
-            (false, true) => TYPES_PERIOD,
+            (true, _) => TYPES_RETRY_INTERVAL,
+            (false, true) => TYPES_REFRESH_INTERVAL,
             (false, false) => return,
         };
-        if self.types_wait || self.types_asked.is_some_and(|t| now.duration_since(t) < period) {
+        if self.types_request_pending || self.types_requested_at.is_some_and(|t| now.duration_since(t) < period) {
             return;
         }
-        self.types_asked = Some(now);
-        self.types_wait = true;
+        self.types_requested_at = Some(now);
+        self.types_request_pending = true;
         self.env.call_cloud(Purpose::Types, CloudOp::Types);
         if self.env.machine_types.is_empty() {
             self.env.call_store(Purpose::ReadTypes, Urgency::High, StoreOp::Get(TYPES_KEY.into()));
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! What controllers tell one another: progress for display, who leads, and how busy they are.
+//! Messages between controllers: job progress for display, who leads, and how busy each one is.
 
 use std::time::{Duration, Instant};
 
@@ -8,27 +8,29 @@
 use crate::jobs::Job;
 use crate::term::{PeerControllers, Term};
 
-use super::{BUSY, GAVE_WAY_LATELY, MUCH_LESS, Node, PEER_PERIOD};
+use super::{MIN_REDIRECT_BUSY_SHARE, MIN_REDIRECT_GAP_PERCENT, Node, PEER_REQUEST_INTERVAL, RECENT_STEP_DOWN_AGE};
 
-/// A node whose answer to a question of this age is the last one still counts as answering.
-const PEER_ANSWERS: Duration = Duration::from_secs(5);
+/// A node counts as responding if its last response was to a request of at most this age.
+const MAX_RESPONSE_AGE: Duration = Duration::from_secs(5);
 
-/// What is known of another controller.
+/// State of another controller, as seen by this one.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peer {
-    pub(super) asked: Option<Instant>,
-    pub(super) waiting: bool,
-    /// The last fresh answer: when its question was asked, and what it said.
-    pub(super) told: Option<(Instant, PeerResponse)>,
+    /// When the last request was sent.
+    pub(super) requested_at: Option<Instant>,
+    pub(super) request_pending: bool,
+    /// The last response, and when its request was sent.
+    pub(super) last_response: Option<(Instant, PeerResponse)>,
 }
 
 impl Node {
+    /// Sends a request to each other controller, if that is due.
     pub(super) fn peers_tick(&mut self) {
         let now = self.env.steady();
-        if self.progress_sent.is_some_and(|t| now.duration_since(t) < PEER_PERIOD) {
+        if self.peer_requests_sent_at.is_some_and(|t| now.duration_since(t) < PEER_REQUEST_INTERVAL) {
             return;
         }
-        self.progress_sent = Some(now);
+        self.peer_requests_sent_at = Some(now);
         let progress = self.term.as_mut().map(Term::take_progress).unwrap_or_default();
         let token = self.token();
         let full = self.term.as_ref().is_some_and(|term| {
@@ -39,16 +41,17 @@
             self.users.full = full;
         }
         for (label, peer) in &mut self.peers {
-            if peer.waiting {
+            if peer.request_pending {
                 continue;
             }
-            peer.asked = Some(now);
-            peer.waiting = true;
+            peer.requested_at = Some(now);
+            peer.request_pending = true;
             let request = PeerRequest { label: self.env.facts.label.clone(), token, full, progress: progress.clone() };
             self.env.outputs.push(Output::Peer { label: label.clone(), request });
         }
     }
 
+    /// Responds to another controller's request.
     pub(super) fn peer_requested(&mut self, request_id: RequestId, request: PeerRequest) {
         if request.token.is_some() {
             self.users.take_progress(request.progress, self.env.policy.job_cache_size);
@@ -57,10 +60,10 @@
         let response = PeerResponse {
             label: self.env.facts.label.clone(),
             incarnation: self.incarnation,
-            store_ok: self.store_health.last_ok.is_some() && !self.store_health.is_down(self.env.steady()),
+            store_ok: self.store_health.last_success_at.is_some() && !self.store_health.is_down(self.env.steady()),
             token: self.token(),
             relays_to: self.relays_to(),
-            busy: (self.busy * 100.0) as u8,
+            busy: (self.busy_share * 100.0) as u8,
         };
         let body = rushyoke_wire::peer::encode(&response);
         self.env.respond(request_id, HttpResponse { status: 200, body, retry_after_s: None });
@@ -71,32 +74,33 @@
         }
     }
 
+    /// Handles the outcome of a request to another controller.
     pub(super) fn peer_responded(&mut self, label: &str, outcome: Outcome<PeerResponse>) {
         let Some(peer) = self.peers.get_mut(label) else {
             return;
         };
-        peer.waiting = false;
-        let (Outcome::Responded(response), Some(asked)) = (outcome, peer.asked) else {
+        peer.request_pending = false;
+        let (Outcome::Responded(response), Some(requested_at)) = (outcome, peer.requested_at) else {
             return;
         };
         if response.label != label {
             return;
         }
-        peer.told = Some((asked, response));
-        self.judge_old_leader();
+        peer.last_response = Some((requested_at, response));
+        self.check_predecessors();
     }
 
-    /// Once every other node has answered a question asked in this term and none acts
-    /// with an older token, no earlier leader can renew any worker's lease again.
-    fn judge_old_leader(&mut self) {
+    /// Checks whether earlier leaders are inactive: once every other node has responded to a request
+    /// of this term and none acts with an older token, no earlier leader can renew a worker's lease.
+    fn check_predecessors(&mut self) {
         let Some(term) = &mut self.term else { return };
         let mut latest = term.started_at;
         for peer in self.peers.values() {
-            match &peer.told {
-                Some((asked, response))
-                    if *asked >= term.started_at && response.token.is_none_or(|t| t >= term.token) =>
+            match &peer.last_response {
+                Some((requested_at, response))
+                    if *requested_at >= term.started_at && response.token.is_none_or(|t| t >= term.token) =>
                 {
-                    latest = latest.max(*asked);
+                    latest = latest.max(*requested_at);
                 }
                 _ => return,
             }
@@ -104,30 +108,34 @@
         term.set_predecessors_inactive(self.env.now.steady.max(latest));
     }
 
-    /// Which other nodes answer, and from where.
-    pub(super) fn controllers_seen(&self) -> PeerControllers {
+    /// Returns how many other controllers there are, which of them respond, and from which zones.
+    pub(super) fn peer_controllers(&self) -> PeerControllers {
         let now = self.env.steady();
-        let lately = |at: Instant, limit| now.duration_since(at) < limit;
-        let answers = |peer: &Peer| peer.told.as_ref().is_some_and(|(asked, _)| lately(*asked, PEER_ANSWERS));
-        let answering = || self.peers.iter().filter(|(_, peer)| answers(peer)).map(|(label, _)| label);
+        let is_recent = |at: Instant, limit| now.duration_since(at) < limit;
+        let responds = |peer: &Peer| {
+            peer.last_response.as_ref().is_some_and(|(requested_at, _)| is_recent(*requested_at, MAX_RESPONSE_AGE))
+        };
+        let responding_peers = || self.peers.iter().filter(|(_, peer)| responds(peer)).map(|(label, _)| label);
         PeerControllers {
             total: self.peers.len(),
-            responding: answering().count(),
-            zones: answering().filter_map(|label| self.env.facts.controller_zones.get(label).cloned()).collect(),
-            recently_stepped_down: self.gave_way.is_some_and(|at| lately(at, GAVE_WAY_LATELY)),
+            responding: responding_peers().count(),
+            zones: responding_peers().filter_map(|label| self.env.facts.controller_zones.get(label).cloned()).collect(),
+            recently_stepped_down: self.minority_step_down_at.is_some_and(|at| is_recent(at, RECENT_STEP_DOWN_AGE)),
         }
     }
 
-    /// The other node that has most time to spare, if it is much less busy than this one.
-    pub(crate) fn idlest_follower(&self) -> Option<String> {
+    /// Returns the least busy follower, if it is much less busy than this node.
+    pub(crate) fn least_busy_follower(&self) -> Option<String> {
         let now = self.env.steady();
         let token = self.token();
         let followers = self.peers.iter().filter_map(|(label, peer)| {
-            let (asked, response) = peer.told.as_ref()?;
-            let fresh = now.duration_since(*asked) < PEER_PERIOD * 2;
+            let (requested_at, response) = peer.last_response.as_ref()?;
+            let fresh = now.duration_since(*requested_at) < PEER_REQUEST_INTERVAL * 2;
             (fresh && response.relays_to.is_some() && response.relays_to == token).then_some((response.busy, label))
         });
         let (busy, label) = followers.min()?;
-        (self.busy >= BUSY && self.busy * 100.0 >= f64::from(busy) + MUCH_LESS).then(|| label.clone())
+        (self.busy_share >= MIN_REDIRECT_BUSY_SHARE
+            && self.busy_share * 100.0 >= f64::from(busy) + MIN_REDIRECT_GAP_PERCENT)
+            .then(|| label.clone())
     }
 }
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -1,12 +1,11 @@
-//! Reports that come to a node which does not lead. It hands them to the leader, many at a time,
-//! and passes the leader's answers back, so that a fleet's connections and the reading of its
-//! messages are shared by all controllers, and stay where they are when the leader changes.
+//! Relays workers' reports from a follower to the leader, many at a time, and passes the leader's
+//! responses back. So all controllers share the fleet's connections and the parsing of its messages,
+//! which keeps the leader from being overloaded, and connections stay when the leader changes.
 //!
-//! Guards against a leader drowned by its fleet. A node that relays is part of the network and
-//! decides nothing: each answer is the leader's own, made for this one report, and a worker counts
-//! its lease from when it sent the report and drops answers after a few seconds, however late
-//! they are passed on. Nothing is kept for longer than a call to the leader may take; what cannot be
-//! handed on is answered at once.
+//! A relaying node decides nothing: each response is made by the leader for that one report. A worker
+//! counts its lease from when it sent the report and ignores responses that come after a few seconds,
+//! so a late relay is harmless. No report is kept for longer than a call to the leader may take, and
+//! one that cannot be relayed gets a response at once.
 
 pub(crate) mod state;
 
@@ -19,79 +18,84 @@
 use crate::fleet::{Tasks, digest};
 use crate::io::*;
 use crate::node::Node;
-use state::{Held, ReportOutcome, Told};
+use state::{ForwardedTasks, PendingReport, ReportOutcome};
 
-/// Reports, and tasks listed in them, that are handed on at a time.
-/// Together they fit into a request's body.
-const REPORTS: usize = 150;
-const TASKS: usize = 800;
-/// Reports are gathered for one part of so many of a worker's report interval.
-const GATHER: u32 = 10;
-/// After a call that failed no report is handed to that leader for this time.
-const PAUSE: Duration = Duration::from_secs(3);
-/// What was told of a worker is forgotten when it has not reported here for so long.
-const FORGET: Duration = Duration::from_secs(30);
+/// Maximum number of reports relayed at a time. Together with `MAX_TASKS` it keeps them within the
+/// size limit of a request's body.
+const MAX_REPORTS: usize = 150;
+/// Number of tasks listed in the reports after which no more are added.
+const MAX_TASKS: usize = 800;
+/// Number of batches sent during a worker's report interval.
+const BATCHES_PER_INTERVAL: u32 = 10;
+/// How long no report is relayed to a leader after a failed call.
+const FAILURE_PAUSE: Duration = Duration::from_secs(3);
+/// How long the tasks last forwarded for a worker are remembered if it no longer reports here.
+const FORWARDED_TTL: Duration = Duration::from_secs(30);
 
 impl Node {
-    /// The token of the leader to which this node hands reports.
+    /// Returns the token of the leader to which this node relays reports.
     pub(crate) fn relays_to(&self) -> Option<u64> {
         let now = self.env.steady();
-        let leader = self.election.other_token().filter(|_| self.token().is_none());
+        let leader = self.election.other_leader_token().filter(|_| self.token().is_none());
         leader.filter(|leader| self.relaying.paused.is_none_or(|(token, until)| token != *leader || until <= now))
     }
 
-    /// The node to which workers are sent. A leader that did not answer us may be dead: a worker
-    /// that is sent there would hang for seconds, while one that looks for itself finds it soon.
-    pub(crate) fn where_to(&self) -> Option<String> {
+    /// Returns the node to which workers are redirected. A leader that didn't respond may be dead: a
+    /// worker sent there would hang for seconds, while one that searches on its own soon finds the
+    /// leader.
+    pub(crate) fn redirect_target(&self) -> Option<String> {
         let paused = self.relaying.paused.is_some_and(|(_, until)| until > self.env.steady());
-        self.election.other_holder().filter(|_| !paused)
+        self.election.other_leader().filter(|_| !paused)
     }
 
-    /// Takes a report that is to be handed on; false if it cannot be.
-    pub(crate) fn relay(&mut self, request_id: RequestId, report: Report, tasks: Box<RawValue>) -> bool {
+    /// Queues a report to be relayed. Returns false if it can't be relayed.
+    pub(crate) fn queue_relay(&mut self, request_id: RequestId, report: Report, tasks: Box<RawValue>) -> bool {
         if self.relays_to().is_none() {
             return false;
         }
         let digest = digest(&tasks);
-        self.relaying.waiting.push_back(Held { request_id, report, tasks, digest, full: false });
+        self.relaying.pending.push_back(PendingReport { request_id, report, tasks, digest, full: false });
         true
     }
 
-    /// Reports are handed on a few times a second, one call at a time.
+    /// Sends the next batch of reports if it is due and no batch is in flight.
     pub(crate) fn relay_tick(&mut self) {
         let now = self.env.steady();
-        self.relaying.moves = 1;
-        if self.relaying.swept.is_none_or(|t| now.duration_since(t) >= FORGET) {
-            self.relaying.swept = Some(now);
-            self.relaying.told.retain(|_, told| now.duration_since(told.at) < FORGET);
+        self.relaying.redirects_left = 1;
+        if self.relaying.last_sweep_at.is_none_or(|swept_at| now.duration_since(swept_at) >= FORWARDED_TTL) {
+            self.relaying.last_sweep_at = Some(now);
+            self.relaying.forwarded.retain(|_, forwarded| now.duration_since(forwarded.at) < FORWARDED_TTL);
         }
-        let (Some(token), Some(label)) = (self.relays_to(), self.election.other_holder()) else {
-            // The leader changed, perhaps to this node.
-            for held in std::mem::take(&mut self.relaying.waiting) {
-                self.report(held.request_id, held.report, Some(held.tasks));
+        let (Some(token), Some(label)) = (self.relays_to(), self.election.other_leader()) else {
+            // The leader has changed, perhaps to this node.
+            for pending in std::mem::take(&mut self.relaying.pending) {
+                self.handle_report(pending.request_id, pending.report, Some(pending.tasks));
             }
             return;
         };
-        // Nothing is gained by gathering more than goes at a time.
-        let gathering = self.relaying.waiting.len() < REPORTS;
-        let since = self.relaying.sent.map(|sent| now.duration_since(sent));
-        let early = gathering && since.is_some_and(|since| since < self.env.facts.report_interval / GATHER);
-        if early || !self.relaying.under_way.is_empty() || self.relaying.waiting.is_empty() {
+        // There is no point in waiting once a batch is full.
+        let not_full = self.relaying.pending.len() < MAX_REPORTS;
+        let elapsed = self.relaying.last_sent_at.map(|sent_at| now.duration_since(sent_at));
+        let too_early =
+            not_full && elapsed.is_some_and(|elapsed| elapsed < self.env.facts.report_interval / BATCHES_PER_INTERVAL);
+        if too_early || !self.relaying.in_flight.is_empty() || self.relaying.pending.is_empty() {
             return;
         }
-        self.relaying.sent = Some(now);
+        self.relaying.last_sent_at = Some(now);
         let (mut reports, mut tasks) = (Vec::new(), 0);
-        while reports.len() < REPORTS && tasks < TASKS {
-            let Some(held) = self.relaying.waiting.pop_front() else {
+        while reports.len() < MAX_REPORTS && tasks < MAX_TASKS {
+            let Some(pending) = self.relaying.pending.pop_front() else {
                 break;
             };
-            let report = &held.report;
-            let told = self.relaying.told.get(&report.machine);
-            let known = told.is_some_and(|t| (t.token, t.digest) == (token, held.digest) && t.addr == report.addr);
-            let full = if known && !held.full {
+            let report = &pending.report;
+            let forwarded = self.relaying.forwarded.get(&report.machine);
+            let unchanged = forwarded.is_some_and(|forwarded| {
+                (forwarded.token, forwarded.digest) == (token, pending.digest) && forwarded.addr == report.addr
+            });
+            let full = if unchanged && !pending.full {
                 None
             } else {
-                match read(&held.tasks) {
+                match parse_tasks(&pending.tasks) {
                     Ok(list) => {
                         tasks += list.len();
                         Some(RelayedMachine {
@@ -104,7 +108,7 @@
                     }
                     Err(error) => {
                         tracing::error!(machine = report.machine, %error, "malformed report");
-                        self.env.respond(held.request_id, HttpResponse::error(400, "loads: malformed"));
+                        self.env.respond(pending.request_id, HttpResponse::error(400, "loads: malformed"));
                         continue;
                     }
                 }
@@ -115,19 +119,19 @@
                 seq: report.seq,
                 token: report.token,
                 notice_s: report.notice_s,
-                digest: held.digest,
+                digest: pending.digest,
                 full,
             });
-            self.relaying.under_way.push(held);
+            self.relaying.in_flight.push(pending);
         }
         if !reports.is_empty() {
             self.env.relay_reports(label, Relay { token, reports });
         }
     }
 
-    /// Reports that another node hands on.
+    /// Responds, as leader, to reports that another node relays.
     pub(crate) fn relay_requested(&mut self, request_id: RequestId, relay: Relay) {
-        let mut told = RelayResponse::default();
+        let mut response = RelayResponse::default();
         if self.token().is_some_and(|own| relay.token > own) {
             self.step_down("a peer follows a higher token");
         }
@@ -135,7 +139,7 @@
             for relayed in relay.reports {
                 let (report, digest, full) = unpack(relayed);
                 let tasks = if full { Tasks::Listed(digest) } else { Tasks::Digest(digest) };
-                told.answers.push(match self.answer_report(report, tasks) {
+                response.answers.push(match self.respond_to_report(report, tasks) {
                     ReportOutcome::Response(HttpResponse { status, body, retry_after_s }) => {
                         Some(RelayAnswer { status, body, retry_after_s })
                     }
@@ -144,66 +148,69 @@
                 });
             }
         }
-        let body = rushyoke_wire::peer::encode(&told);
+        let body = rushyoke_wire::peer::encode(&response);
         self.env.respond(request_id, HttpResponse { status: 200, body, retry_after_s: None });
     }
 
-    /// The leader's answers, to be passed back.
+    /// Passes the leader's responses back to the workers.
     pub(crate) fn relay_responded(&mut self, call: CallId, outcome: Outcome<RelayResponse>) {
         if self.env.calls.remove(&call).is_none() {
             return;
         }
         let now = self.env.steady();
-        let mut answers = match outcome {
-            Outcome::Responded(told) => told.answers.into_iter(),
+        let mut responses = match outcome {
+            Outcome::Responded(response) => response.answers.into_iter(),
             _ => {
-                self.relaying.paused = self.election.other_token().map(|token| (token, now + PAUSE));
+                self.relaying.paused = self.election.other_leader_token().map(|token| (token, now + FAILURE_PAUSE));
                 Vec::new().into_iter()
             }
         };
-        let token = self.election.other_token();
-        for held in std::mem::take(&mut self.relaying.under_way) {
-            match (answers.next(), token) {
+        let token = self.election.other_leader_token();
+        for pending in std::mem::take(&mut self.relaying.in_flight) {
+            match (responses.next(), token) {
                 (Some(Some(RelayAnswer { status, body, retry_after_s })), Some(token)) => {
                     if status == 200 {
-                        let Report { machine, addr, .. } = held.report;
-                        self.relaying.told.insert(machine, Told { token, digest: held.digest, addr, at: now });
+                        let Report { machine, addr, .. } = pending.report;
+                        self.relaying
+                            .forwarded
+                            .insert(machine, ForwardedTasks { token, digest: pending.digest, addr, at: now });
                     }
-                    self.env.respond(held.request_id, HttpResponse { status, body, retry_after_s });
+                    self.env.respond(pending.request_id, HttpResponse { status, body, retry_after_s });
                 }
-                (Some(None), Some(_)) if !held.full => {
-                    self.relaying.waiting.push_front(Held { full: true, ..held });
+                (Some(None), Some(_)) if !pending.full => {
+                    self.relaying.pending.push_front(PendingReport { full: true, ..pending });
                 }
                 _ => {
-                    // The leader may have taken it, so that it cannot be handed on again.
-                    self.env.respond(held.request_id, HttpResponse::later(503, "the leader does not answer"));
+                    // The leader may have processed the report, so it can't be relayed again.
+                    self.env.respond(pending.request_id, HttpResponse::later(503, "the leader does not respond"));
                 }
             }
         }
     }
 
-    /// A busy leader sends some of its own workers to a node with more time, a few at a time,
-    /// since a new connection costs as much as several reports.
-    pub(crate) fn hand_over(&mut self) -> Option<HttpResponse> {
-        if self.relaying.moves == 0 || !self.term.as_ref().is_some_and(|term| term.ready()) {
+    /// Returns a redirect to a less busy node if this leader is busy. Workers are redirected a few at a
+    /// time, because a new connection costs as much as several reports.
+    pub(crate) fn redirect_worker(&mut self) -> Option<HttpResponse> {
+        if self.relaying.redirects_left == 0 || !self.term.as_ref().is_some_and(|term| term.ready()) {
             return None;
         }
-        let label = self.idlest_follower()?;
-        self.relaying.moves -= 1;
+        let label = self.least_busy_follower()?;
+        self.relaying.redirects_left -= 1;
         Some(HttpResponse::json(421, &Elsewhere { report_to: Some(label) }))
     }
 }
 
-fn read(tasks: &RawValue) -> Result<Vec<RelayedTask>, serde_json::Error> {
+/// Parses the list of tasks in a report.
+fn parse_tasks(tasks: &RawValue) -> Result<Vec<RelayedTask>, serde_json::Error> {
     let list: Vec<TaskReport> = serde_json::from_str(tasks.get())?;
     let pack = |t: TaskReport| RelayedTask { task: t.task, attempt: t.attempt, state: t.state, why: t.why };
     Ok(list.into_iter().map(pack).collect())
 }
 
-/// The report, the digest of its tasks, and whether they are in it.
+/// Returns the report, the digest of its tasks, and whether the report contains them.
 fn unpack(relayed: Relayed) -> (Report, u64, bool) {
     let Relayed { machine, session, seq, token, notice_s, digest, full } = relayed;
-    let told = full.is_some();
+    let has_tasks = full.is_some();
     let empty = RelayedMachine {
         addr: String::new(),
         kind: String::new(),
@@ -215,5 +222,5 @@
     let unpack =
         |t: RelayedTask| TaskReport { task: t.task, attempt: t.attempt, state: t.state, why: t.why, saved: None };
     let tasks = tasks.into_iter().map(unpack).collect();
-    (Report { machine, addr, kind, zone, spot, session, seq, token, notice_s, tasks }, digest, told)
+    (Report { machine, addr, kind, zone, spot, session, seq, token, notice_s, tasks }, digest, has_tasks)
 }
--- a/crates/core/src/relay/state.rs
+++ b/crates/core/src/relay/state.rs
@@ -1,4 +1,4 @@
-//! What a node that follows holds of the reports that it hands on.
+//! A follower's state of the reports that it relays.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Instant;
@@ -8,48 +8,49 @@
 
 use crate::io::{HttpResponse, RequestId};
 
-/// What became of a report.
+/// Outcome of a report.
 pub(crate) enum ReportOutcome {
+    /// The leader's response.
     Response(HttpResponse),
-    /// Its tasks changed and were not told.
+    /// The tasks have changed since they were last listed, so they must be listed again.
     TasksNeeded,
-    /// This node does not lead.
+    /// This node isn't the leader.
     NotLeader(Report),
 }
 
-/// A report without a list of tasks.
-pub(crate) fn no_tasks() -> Box<RawValue> {
+/// Returns the task list of a report without tasks.
+pub(crate) fn empty_task_list() -> Box<RawValue> {
     RawValue::from_string("[]".into()).expect("an empty list")
 }
 
-/// A worker's report that waits to be handed on, or for the leader's answer.
-pub(super) struct Held {
+/// A worker's report that waits to be relayed, or for the leader's response.
+pub(super) struct PendingReport {
     pub(super) request_id: RequestId,
     pub(super) report: Report,
     pub(super) tasks: Box<RawValue>,
     pub(super) digest: u64,
-    /// The leader asked for all of it.
+    /// The leader asked for the list of tasks.
     pub(super) full: bool,
 }
 
-/// What the leader was told of a worker's tasks.
-pub(super) struct Told {
+/// The tasks of a worker that the leader last received from this node.
+pub(super) struct ForwardedTasks {
     pub(super) token: u64,
     pub(super) digest: u64,
     pub(super) addr: String,
     pub(super) at: Instant,
 }
 
-/// Reports on their way to the leader.
+/// Reports being relayed to the leader.
 #[derive(Default)]
 pub(crate) struct Relaying {
-    pub(super) waiting: VecDeque<Held>,
-    pub(super) under_way: Vec<Held>,
-    pub(super) told: HashMap<String, Told>,
-    /// This leader did not answer; until then workers look for it themselves.
+    pub(super) pending: VecDeque<PendingReport>,
+    pub(super) in_flight: Vec<PendingReport>,
+    pub(super) forwarded: HashMap<String, ForwardedTasks>,
+    /// Token of a leader that did not respond, and until when nothing is relayed to it.
     pub(super) paused: Option<(u64, Instant)>,
-    pub(super) sent: Option<Instant>,
-    pub(super) swept: Option<Instant>,
-    /// Workers that may be sent elsewhere until the next tick.
-    pub(super) moves: u32,
+    pub(super) last_sent_at: Option<Instant>,
+    pub(super) last_sweep_at: Option<Instant>,
+    /// Number of workers that may be redirected before the next tick.
+    pub(super) redirects_left: u32,
 }
