--- a/crates/core/src/facts.rs
+++ b/crates/core/src/facts.rs
@@ -1,4 +1,4 @@
-//! What the platform and the operators tell a node at its start.
+//! Settings of a node: the facts about the platform, and the operators' policy.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,114 +6,115 @@
 use rushyoke_balance::Settings as BalanceSettings;
 use rushyoke_failover::Settings as FailoverSettings;
 
-/// A team's guarantee and limit.
+/// A team's quota: its guarantee and its limit.
 #[derive(Clone, Debug, Default)]
 pub struct Team {
-    /// CPUs that it is guaranteed.
+    /// Guaranteed CPUs.
     pub cpus: f64,
-    /// CPUs that its tasks may use at the most.
+    /// Maximum number of CPUs.
     pub cpus_max: f64,
-    /// GPUs that it is guaranteed.
+    /// Guaranteed GPUs.
     pub gpus: f64,
-    /// GPUs that its tasks may use at the most.
+    /// Maximum number of GPUs.
     pub gpus_max: f64,
 }
 
-/// An aim that the users set for a class of jobs.
+/// A service level objective for a class of jobs.
 #[derive(Clone, Debug)]
 pub struct Objective {
-    /// What is counted, such as `finished` or `wait`.
+    /// The measure, such as `finished` or `wait`.
     pub kind: String,
-    /// The class of jobs, if not all.
+    /// The class of jobs; all classes if there is none.
     pub class: Option<String>,
     /// The time allowed.
     pub time_limit: Option<Duration>,
 }
 
-/// The platform's facts; nothing here is a constant of ours.
+/// Facts about the platform, which are given and not chosen by this project.
 #[derive(Clone, Debug)]
 pub struct Facts {
     /// This node's label.
     pub label: String,
     /// The other nodes' labels.
     pub peers: Vec<String>,
-    /// Zones of the nodes by their labels, as far as the platform tells.
+    /// Zones of the nodes by label, if known.
     pub controller_zones: BTreeMap<String, String>,
     /// Teams by name.
     pub teams: BTreeMap<String, Team>,
-    /// The users' aims.
+    /// The users' service level objectives.
     pub objectives: Vec<Objective>,
-    /// Interval of workers' reports.
+    /// Time between a worker's reports.
     pub report_interval: Duration,
-    /// Life of a worker's lease.
+    /// Duration of a worker's lease.
     pub worker_lease: Duration,
-    /// Time within which a cancelled job must be gone.
+    /// Time within which all tasks of a cancelled job must have stopped.
     pub cancel_limit: Duration,
-    /// Writes in one transaction.
+    /// Maximum number of writes in a transaction.
     pub txn_ops: usize,
-    /// Bytes of one value.
+    /// Maximum size of a value in the state service.
     pub value_bytes: usize,
-    /// Puts and deletes that the store takes a second.
+    /// Maximum number of puts and deletes per second in the state service.
     pub write_rps: f64,
-    /// How late the cloud's list may be.
+    /// Maximum delay until a change shows in the cloud's list of machines.
     pub cloud_list_lag: Duration,
-    /// Calls that the cloud takes a second.
+    /// Maximum number of calls to the cloud per second.
     pub cloud_rps: f64,
-    /// Direct calls to workers at a time, as far as the sockets go.
+    /// Maximum number of direct calls to workers at a time, limited by the number of sockets.
     pub max_direct_calls: usize,
-    /// Memory that unfinished jobs may take.
+    /// Maximum memory used by unfinished jobs.
     pub max_job_bytes: usize,
 }
 
 impl Facts {
-    /// How long a leader goes on answering reports after the older of two moments: the last confirmed
-    /// renewal of its lease, and the last up to which it surely knows all cancellations. One
-    /// that was told elsewhere must still be over in time once it falls silent.
+    /// Returns for how long a leader may respond to reports after the older of two times: when the last
+    /// confirmed renewal of its lease was sent, and up to when it knows all cancellations. A job that
+    /// was cancelled through another node must still stop in time once this leader stops responding
+    /// and its workers' leases expire.
     pub(crate) fn self_fencing_timeout(&self) -> Duration {
         let margin = Duration::from_secs(2) + self.cancel_limit / 100;
         self.cancel_limit.saturating_sub(self.worker_lease).saturating_sub(margin)
     }
 }
 
-/// The operators' own settings, with the defaults of the design.
+/// The operators' settings.
 #[derive(Clone, Debug)]
 pub struct Policy {
-    /// How often the eSplash step runs.
+    /// Time between eSplash steps.
     pub speculation_period: Duration,
-    /// Straggler value per running task above which a machine is a straggler.
+    /// Straggler score per running task above which a machine is a straggler.
     pub straggler_threshold: f64,
-    /// Finished tasks that a cell of the statistics needs.
+    /// Minimum number of finished tasks for a cell of the statistics to be used.
     pub min_cell_tasks: u32,
-    /// Levels that the clustering may form.
+    /// Maximum number of levels formed by the clustering.
     pub max_levels: usize,
     /// Whether the eSplash step restarts tasks.
     pub speculation: bool,
-    /// Life of the leader's lease in the state service.
+    /// Duration of the leader's lease in the state service.
     pub leader_lease: Duration,
-    /// Free capacity kept ready, as a share of what is in use.
+    /// Free capacity kept ready, as a share of the capacity in use.
     pub headroom_share: f64,
-    /// Least free capacity kept ready, in machines of the largest type.
+    /// Minimum free capacity kept ready, in machines of the largest type.
     pub headroom_machines: f64,
-    /// Room kept free on ordinary machines for services, in mean services seen.
+    /// CPUs kept free for services on machines that aren't spot machines, in services of average size.
     pub service_reserve: f64,
-    /// Share of the users' time for work within a guarantee that passes before other
-    /// work is stopped for it.
+    /// Share of the objective for work within a guarantee that passes before other work is preempted for
+    /// it.
     pub preemption_delay_share: f64,
-    /// How long a job may wait with none of its tasks placed before it is served out of turn.
+    /// How long a job may wait without any task being placed before it is scheduled out of turn.
     pub starvation_timeout: Duration,
-    /// How long a machine stays idle before it is returned.
+    /// How long a machine is idle before it is released.
     pub idle_timeout: Duration,
-    /// Report intervals without a sign of life after which a machine is given up.
+    /// Number of report intervals without contact after which an unresponsive machine is declared dead.
     pub missed_report_limit: f64,
-    /// Unfinished jobs that are held at the most; more are turned away.
+    /// Maximum number of unfinished jobs; further submissions are rejected.
     pub max_jobs: usize,
-    /// Jobs whose state a node remembers for quick answers.
+    /// Number of jobs whose state a node caches to respond quickly.
     pub job_cache_size: usize,
-    /// Machines looked at for one placement when many are known.
+    /// Number of machines sampled for one placement in a large fleet.
     pub placement_sample: usize,
-    /// Load spreading; off if there is none.
+    /// Settings of rebalancing, which is disabled if there are none.
     pub balance: Option<BalanceSettings>,
-    /// Zone failover; off if there is none.
+    /// Settings of zone failover, which is disabled if there are none.
     pub failover: Option<FailoverSettings>,
 }
 
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -9,35 +9,35 @@
 use rushyoke_wire::worker::{Orders, Report};
 use serde_json::value::RawValue;
 
-/// Names a request that waits for an answer of ours.
+/// Id of a request that waits for a response of this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// Names a call of ours that waits for an outcome.
+/// Id of a call by this node that waits for its outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// What became of a call.
+/// Outcome of a call.
 #[derive(Clone, Debug)]
 pub enum Outcome<T> {
-    /// It was answered.
+    /// There was a response.
     Responded(T),
-    /// It was surely not carried out and never will be.
+    /// The call was not executed and never will be.
     NotExecuted,
-    /// It may have been carried out, or may be yet.
+    /// The call may have been executed, or may still be.
     Unknown,
 }
 
-/// How urgent a call to the state service is; the first goes first.
+/// Urgency of a call to the state service, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// Leadership.
+    /// Leadership and the knowledge that it depends on.
     Leadership,
-    /// What a start or a job's end waits for.
+    /// A record that the start of a task or the end of a job waits for.
     Record,
-    /// What a user waits for.
+    /// A call that a user waits for.
     High,
-    /// All else.
+    /// Any other call.
     Low,
 }
 
@@ -46,270 +46,269 @@
 pub enum StoreOp {
     /// Reads a key.
     Get(String),
-    /// Reads keys in order.
+    /// Lists keys in order, a page at a time.
     List {
-        /// What the keys begin with.
+        /// Prefix of the keys.
         prefix: String,
-        /// The key, or the revision, after which it begins.
+        /// The key after which the list begins.
         after: String,
     },
-    /// Carries out a transaction.
+    /// Executes a transaction.
     Txn(Txn),
-    /// Asks for a lease.
+    /// Creates a lease.
     NewLease {
-        /// Its life without renewal.
+        /// Time after which the lease expires unless it is renewed.
         ttl_ms: u64,
     },
     /// Renews a lease.
     RenewLease(u64),
     /// Ends a lease.
     EndLease(u64),
-    /// Waits for a change.
+    /// Waits for changes of keys.
     Watch {
-        /// What the keys begin with.
+        /// Prefix of the keys.
         prefix: String,
-        /// The key, or the revision, after which it begins.
+        /// The revision after which changes are returned.
         after: u64,
         /// How long to wait.
         wait_ms: u64,
     },
 }
 
-/// What the state service answers.
+/// A response of the state service.
 #[derive(Clone, Debug)]
 pub enum StoreResponse {
     /// A key, if it exists.
     Item(Option<Item>),
-    /// Keys in order.
+    /// A page of keys in order.
     Page(Page),
-    /// The revision of a transaction that was carried out.
+    /// The revision of a committed transaction.
     Committed(u64),
-    /// Keys whose conditions did not hold; it may not name all.
+    /// Keys whose conditions failed, though perhaps not all of them; the transaction was not executed.
     ConditionsFailed(Vec<String>),
-    /// A new lease.
+    /// The id of a new lease.
     Lease(u64),
     /// The lease was renewed or ended.
     LeaseOk,
-    /// The lease has ended.
+    /// The lease has expired or was ended.
     NoSuchLease,
-    /// Changes that a watch saw, or none in its time.
+    /// Changes seen by a watch; empty if there were none while it waited.
     Changes(Changes),
-    /// The watch asked for changes that are no longer kept.
+    /// The watch requested changes that are no longer stored.
     Compacted,
-    /// 503: not carried out.
+    /// Status 503: not executed.
     Unavailable,
-    /// 429: beyond a limit, not carried out.
+    /// Status 429: a rate limit was exceeded, not executed.
     RateLimited,
 }
 
 /// A call to the cloud.
 #[derive(Clone, Debug)]
 pub enum CloudOp {
-    /// Asks for the types of machines.
+    /// Requests the machine types.
     Types,
     /// Rents machines.
     Rent(Rental),
-    /// Returns machines.
+    /// Releases machines, by name.
     Release(Vec<String>),
     /// Lists machines.
     List {
-        /// The name after which it begins.
+        /// The name after which the list begins.
         after: Option<String>,
     },
 }
 
-/// What the cloud answers.
+/// A response of the cloud.
 #[derive(Clone, Debug)]
 pub enum CloudResponse {
-    /// The types of machines.
+    /// The machine types.
     Types(Vec<MachineType>),
     /// Names of rented machines.
     Rented(Vec<String>),
-    /// The machines are gone.
+    /// The machines were released.
     Released,
-    /// Machines in order.
+    /// A page of machines in order.
     Listing(Listing),
-    /// There is none of the kind.
+    /// No machine of the requested type is available.
     NoCapacity,
-    /// 429 or an outage: not carried out.
+    /// A rate limit or an outage: not executed.
     Unavailable,
 }
 
-/// What happens to a node.
+/// An event that a node handles.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A user submits a job.
     Submit {
-        /// The request to answer.
+        /// Id of the request.
         request_id: RequestId,
         /// The job.
         spec: Box<JobSpec>,
     },
     /// A user asks about a job.
     Status {
-        /// The request to answer.
+        /// Id of the request.
         request_id: RequestId,
         /// The job's id.
         id: String,
     },
     /// A user cancels a job.
     Cancel {
-        /// The request to answer.
+        /// Id of the request.
         request_id: RequestId,
         /// The job's id.
         id: String,
     },
     /// A health check.
     Ready {
-        /// The request to answer.
+        /// Id of the request.
         request_id: RequestId,
     },
-    /// A worker reports.
+    /// A worker's report.
     Report {
-        /// The request to answer.
+        /// Id of the request.
         request_id: RequestId,
         /// The report.
         report: Box<Report>,
-        /// The report's tasks if they were not read yet.
+        /// The report's tasks, if they are not parsed yet.
         unparsed_tasks: Option<Box<RawValue>>,
     },
-    /// Another node asks and tells.
+    /// A request of another node.
     Peer {
-        /// The request to answer.
+        /// Id of the request.
         request_id: RequestId,
         /// The message.
         request: PeerRequest,
     },
-    /// Reports that another node hands on.
+    /// Reports relayed by another node.
     Relay {
-        /// The request to answer.
+        /// Id of the request.
         request_id: RequestId,
         /// The reports.
         relay: Relay,
     },
-    /// The leader answered reports that were handed on.
+    /// Outcome of a call that relayed reports to the leader.
     RelayResponse {
-        /// The call.
+        /// Id of the call.
         call: CallId,
-        /// What became of it.
+        /// Outcome of the call.
         outcome: Outcome<RelayResponse>,
     },
-    /// A call to the state service has an outcome.
+    /// Outcome of a call to the state service.
     Store {
-        /// The call.
+        /// Id of the call.
         call: CallId,
-        /// What became of it.
+        /// Outcome of the call.
         outcome: Outcome<StoreResponse>,
     },
-    /// A call to the cloud has an outcome.
+    /// Outcome of a call to the cloud.
     Cloud {
-        /// The call.
+        /// Id of the call.
         call: CallId,
-        /// What became of it.
+        /// Outcome of the call.
         outcome: Outcome<CloudResponse>,
     },
-    /// The status and report that a worker answered to direct orders.
+    /// Outcome of a direct call to a worker: the status and report in its response.
     OrderResponse {
-        /// The call.
+        /// Id of the call.
         call: CallId,
-        /// What became of it.
+        /// Outcome of the call.
         outcome: Outcome<(u16, Report)>,
     },
-    /// Another node answered.
+    /// Outcome of a request to another node.
     PeerResponse {
         /// The node's label.
         label: String,
-        /// What became of it.
+        /// Outcome of the call.
         outcome: Outcome<PeerResponse>,
     },
-    /// How much of its time the processor was busy lately, 0 to 1, and how much too late the
-    /// tick comes that follows.
+    /// Recent processor load; comes before a tick.
     ProcessorLoad {
-        /// Share of its time for which the processor was busy.
+        /// Share of time for which the processor was busy, 0 to 1.
         share: f64,
-        /// How much too late the next tick comes.
+        /// Delay of the tick that follows.
         tick_delay: Duration,
     },
     /// Time passes.
     Tick,
 }
 
-/// An HTTP answer.
+/// An HTTP response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HttpResponse {
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// Its body.
+    /// Body of the response.
     pub body: Vec<u8>,
-    /// When the client should come back.
+    /// Seconds after which the client should retry.
     pub retry_after_s: Option<u32>,
 }
 
 impl HttpResponse {
-    /// An answer with a JSON body.
+    /// Returns a response with a JSON body.
     pub fn json<T: serde::Serialize>(status: u16, body: &T) -> HttpResponse {
-        let body = serde_json::to_vec(body).expect("answers always encode");
+        let body = serde_json::to_vec(body).expect("responses always encode");
         HttpResponse { status, body, retry_after_s: None }
     }
 
-    /// An answer that says what is wrong.
+    /// Returns an error response.
     pub fn error(status: u16, text: &str) -> HttpResponse {
         HttpResponse::json(status, &serde_json::json!({ "error": text }))
     }
 
-    /// Tells the client at once that it should come back.
+    /// Returns an error response that asks the client to retry in a second.
     pub fn later(status: u16, text: &str) -> HttpResponse {
         HttpResponse { retry_after_s: Some(1), ..HttpResponse::error(status, text) }
     }
 }
 
-/// What a node sends.
+/// A call or response that a node sends.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Answers a request.
+    /// Responds to a request.
     Response {
-        /// The request.
+        /// Id of the request.
         request_id: RequestId,
-        /// The answer.
+        /// The response.
         response: HttpResponse,
     },
     /// Calls the state service.
     Store {
-        /// Names the call for its outcome.
+        /// Id of the call.
         call: CallId,
         /// The call.
         op: StoreOp,
-        /// How urgent it is.
+        /// Urgency of the call.
         urgency: Urgency,
     },
     /// Calls the cloud.
     Cloud {
-        /// Names the call for its outcome.
+        /// Id of the call.
         call: CallId,
         /// The call.
         op: CloudOp,
     },
-    /// Orders a worker directly.
+    /// Calls a worker directly.
     Order {
-        /// Names the call for its outcome.
+        /// Id of the call.
         call: CallId,
         /// The worker's address.
         addr: String,
         /// The orders.
         orders: Orders,
-        /// It asks for a sign of life: the answer must not take long.
+        /// Whether the call mainly checks that the worker is alive, so that the response must come soon.
         probe: bool,
     },
-    /// Asks and tells another node.
+    /// Sends a request to another node.
     Peer {
         /// The other node's label.
         label: String,
         /// The message.
         request: PeerRequest,
     },
-    /// Hands reports to the leader.
+    /// Relays reports to the leader.
     Relay {
-        /// Names the call for its outcome.
+        /// Id of the call.
         call: CallId,
         /// The other node's label.
         label: String,
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,6 +1,6 @@
-//! The scheduler of rushyoke as a state machine: inputs go in through [`Node::handle`],
-//! what to send, write and answer comes out. No I/O, no clock and no randomness of its
-//! own: the caller passes the steady clock's time, the time of day and a seed.
+//! The scheduler of rushyoke as a state machine: [`Node::handle`] takes an input and returns the
+//! calls and responses to send. It does no I/O and has no clock or source of randomness of its
+//! own: the caller passes the time of the steady clock, the time of day and a seed.
 
 #![warn(missing_docs)]
 
--- a/crates/core/src/term.rs
+++ b/crates/core/src/term.rs
@@ -1,5 +1,5 @@
-//! A term: the tables of a leader, empty at its start. What is done with them stands in the modules that use
-//! them.
+//! The state of a leader for one term. It is empty at the start of the term; the modules that use it
+//! implement the operations on it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -22,116 +22,143 @@
 use crate::rent::renting::Renting;
 use crate::speculate::statistics::Speculation;
 
-/// A tick that comes later than this shows that the processor is short.
-const LATE: Duration = Duration::from_millis(50);
-/// Direct calls that a tick grants at the least, and at first as a part of all at a time.
-const LEAST_GRANT: usize = 2;
-const FIRST_GRANT: usize = 4;
+/// A tick that is delayed by more than this shows that the processor is overloaded.
+const MAX_TICK_DELAY: Duration = Duration::from_millis(50);
+/// Minimum number of direct calls that may be started per tick.
+const MIN_CALLS_PER_TICK: usize = 2;
+/// At first a tick may start this part of the maximum number of direct calls.
+const INITIAL_CALL_DIVISOR: usize = 4;
 
-/// How far the reading of the records has come.
+/// The records that are being loaded; `after` is the last key read.
 #[derive(Debug)]
 pub(crate) enum LoadStage {
-    Jobs { after: String },
-    Segments { after: String },
-    Pages { after: String },
-    OpenMoves { after: String },
+    Jobs {
+        after: String,
+    },
+    Segments {
+        after: String,
+    },
+    Pages {
+        after: String,
+    },
+    OpenMoves {
+        after: String,
+    },
     Failover,
+    /// All records are loaded.
     Ready,
 }
 
-/// What is known of the other controllers.
+/// State of the other controllers, as seen by this one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PeerControllers {
-    /// How many others there are, and how many of them answer.
+    /// Number of other controllers.
     pub total: usize,
+    /// Number of other controllers that respond.
     pub responding: usize,
-    /// Zones from which one answers.
+    /// Zones of the controllers that respond.
     pub zones: BTreeSet<String>,
-    /// This node gave way lately since it seemed to be cut off, and leads again.
+    /// This node recently stepped down because it seemed to be in a minority partition, and leads again.
     pub recently_stepped_down: bool,
 }
 
-/// A leader's tables for one term.
+/// The state of a leader for one term.
 pub(crate) struct Term {
+    /// Fencing token of this leader.
     pub token: u64,
     pub started_at: Instant,
-    /// From then on no earlier leader answers any worker.
+    /// From this time on no earlier leader responds to any worker.
     pub predecessors_inactive_at: Instant,
-    /// Every other node has told that it leads no more.
+    /// Every other node has confirmed that it doesn't lead with an older token.
     pub predecessors_known_inactive: bool,
-    /// When a report was last answered while the tables were not filled, and not noted there.
+    /// When a report last got a response before the state was loaded, so that it isn't recorded for its machine.
     pub last_response_before_load: Option<Instant>,
-    /// When a worker last reported to this node itself.
+    /// When a worker last reported to this node directly, not through a relay.
     pub last_direct_report: Instant,
     pub load_stage: LoadStage,
+    /// A read of the records is in flight.
     pub load_request_pending: bool,
+    /// When a failed read or watch is repeated.
     pub retry_at: Option<Instant>,
+    /// Revision up to which the jobs are known.
     pub watch_revision: u64,
     pub watch_pending: bool,
-    /// When the reading of all jobs began that is under way.
+    /// When the current read of all jobs was started.
     pub job_read_started_at: Instant,
-    /// Every cancellation that was confirmed before this moment is known: the request whose
-    /// answer showed it was sent then. Renewals of the lease prove nothing of the kind, since
-    /// a watch may be closed, refused, limited or hang while they succeed.
+    /// Every cancellation confirmed before this time is known: it is when the request was sent whose
+    /// response showed them. Renewals of the lease don't prove this, because a watch may be closed,
+    /// rejected, rate limited or hang while they succeed.
     pub cancellations_known_until: Option<Instant>,
-    /// When the last confirmed renewal was sent, and for how long renewals have succeeded since
-    /// the view last grew; a spell without any, as in an outage, does not count.
+    /// When the last confirmed renewal of the leader's lease was sent.
     pub lease_renewed_at: Instant,
+    /// For how long renewals have succeeded since `cancellations_known_until` last advanced. Time
+    /// without renewals, as in an outage, does not count.
     pub renewed_without_watch: Duration,
-    /// What was read so far, kept until the load is complete.
+    /// Pages read so far, kept until all records are loaded: job, page, version and record.
     pub loaded_pages: Vec<(Name, u32, u64, PageRecord)>,
+    /// Segments read so far, kept until all records are loaded: number, version and record.
     pub loaded_segments: Vec<(u64, u64, SegmentRecord)>,
-    /// Values of the record of open moves, by number.
+    /// Parts of the record of open moves read so far, with their numbers.
     pub loaded_moves: Vec<(usize, OpenMoves)>,
+    /// All records were loaded once in this term.
     pub load_complete: bool,
-    /// The records named machines.
+    /// The loaded records contained machines.
     pub machines_inherited: bool,
     pub jobs: BTreeMap<Name, Job>,
     pub machines: BTreeMap<Name, Machine>,
-    /// All zones that machines were ever in.
+    /// All zones in which there was ever a machine.
     pub zones: BTreeSet<String>,
     pub quotas: Quotas,
     pub records: Records,
     pub renting: Renting,
     pub speculation: Speculation,
-    /// Machines that have orders which should not wait for the next report.
+    /// Machines with orders that should not wait for the next report.
     pub machines_to_call: BTreeSet<(CallReason, Name)>,
-    /// Direct calls under way.
+    /// Number of direct calls in flight.
     pub direct_calls_in_flight: usize,
-    /// New ones until the next tick, and how many each tick grants.
+    /// Number of direct calls that may be started before the next tick.
     pub direct_call_budget: usize,
+    /// Number of direct calls that may be started per tick.
     pub direct_calls_per_tick: usize,
-    /// Something changed that may let a task start.
+    /// A change may allow a task to start, so a scheduling pass is due.
     pub scheduling_due: bool,
+    /// When the last scheduling pass ran.
     pub last_pass_at: Option<Instant>,
+    /// Number of attempts started in this term.
     pub attempt_counter: u64,
+    /// When the work that runs every second last ran.
     pub last_periodic_work: Option<Instant>,
+    /// When the liveness of machines was last checked.
     pub last_liveness_check: Option<Instant>,
+    /// Jobs whose progress has changed since it was last sent to the other controllers.
     pub jobs_with_progress: BTreeSet<Name>,
-    /// The workers seem to be out of this node's reach.
+    /// Most workers can't reach this node, as if it were partitioned from them.
     pub partitioned: bool,
     pub survey: Survey,
-    /// Stops of cancelled tasks, for the log.
+    /// Statistics of the stops of cancelled tasks, for the log.
     pub stops: StopAccount,
-    /// Whether the last report was refused, since the right to answer had lapsed.
+    /// The last report was rejected because this leader may no longer respond.
     pub refusing_reports: bool,
+    /// Dependencies of the unfinished jobs.
     pub dependencies: Awaited,
-    /// Load spreading, if it is switched on.
+    /// Load balancer, if rebalancing is enabled.
     pub balancer: Option<Balancer>,
-    /// Zone failover, if it is switched on.
+    /// Zone failover, if it is enabled.
     pub failover: Option<Failover>,
-    /// What is known of the other controllers.
+    /// State of the other controllers.
     pub controllers: PeerControllers,
-    /// Likely this node is cut off from most of the fleet, and another controller could lead.
+    /// This node is probably partitioned from most of the fleet, and another controller could lead.
     pub in_minority: bool,
-    /// The jobs within their team's guarantee, as of the last pass.
+    /// Jobs within their team's guaranteed quota, as of the last scheduling pass.
     pub jobs_within_quota: Arc<BTreeSet<Name>>,
-    /// A task of an open move may be vacated.
+    /// A task of an open move may have left its source machine.
     pub vacated_tasks_due: bool,
+    /// When the summary of rebalancing was last logged.
     pub last_summary_at: Option<Instant>,
 }
 
 impl Term {
+    /// Returns the state at the start of a term.
     pub fn new(token: u64, now: Instant, predecessors_inactive_at: Instant, facts: &Facts, policy: &Policy) -> Term {
         Term {
             token,
@@ -163,8 +190,8 @@
             speculation: Speculation::default(),
             machines_to_call: BTreeSet::new(),
             direct_calls_in_flight: 0,
-            direct_call_budget: (facts.max_direct_calls / FIRST_GRANT).max(1),
-            direct_calls_per_tick: (facts.max_direct_calls / FIRST_GRANT).max(1),
+            direct_call_budget: (facts.max_direct_calls / INITIAL_CALL_DIVISOR).max(1),
+            direct_calls_per_tick: (facts.max_direct_calls / INITIAL_CALL_DIVISOR).max(1),
             scheduling_due: false,
             last_pass_at: None,
             attempt_counter: 0,
@@ -186,29 +213,32 @@
         }
     }
 
+    /// Whether all records are loaded.
     pub fn ready(&self) -> bool {
         matches!(self.load_stage, LoadStage::Ready)
     }
 
-    /// An attempt number that no other leader and no other start has.
+    /// Returns an attempt number that was never used before, by this leader or another one.
     pub fn next_attempt(&mut self) -> u64 {
         self.attempt_counter += 1;
         (self.token << 24) | self.attempt_counter
     }
 
-    pub fn set_predecessors_inactive(&mut self, from: Instant) {
+    /// Records that no earlier leader is active from this time on.
+    pub fn set_predecessors_inactive(&mut self, time: Instant) {
         self.predecessors_known_inactive = true;
-        if from < self.predecessors_inactive_at {
-            tracing::debug!("no earlier leader acts any more");
-            self.predecessors_inactive_at = from;
+        if time < self.predecessors_inactive_at {
+            tracing::debug!("earlier leaders are inactive");
+            self.predecessors_inactive_at = time;
         }
     }
 
+    /// Records that a job's progress has changed.
     pub fn note_progress(&mut self, job: &Name) {
         self.jobs_with_progress.insert(job.clone());
     }
 
-    /// What changed since the last call, for the other nodes' displays.
+    /// Returns the progress of jobs that changed since the last call, for the other controllers' displays.
     pub fn take_progress(&mut self) -> Vec<Progress> {
         let names: Vec<Name> = self.jobs_with_progress.iter().take(500).cloned().collect();
         names
@@ -221,72 +251,71 @@
             .collect()
     }
 
-    /// Whether reports may be answered, as far as the view of cancellations goes. Without
-    /// one none may: a worker that is answered keeps what it runs for another lease.
+    /// Whether cancellations are known up to recently enough to respond to reports. A worker that gets
+    /// a response keeps its tasks running for another lease.
     pub fn cancellations_are_current(&self, now: Instant, facts: &Facts) -> bool {
         self.cancellations_known_until
-            .is_some_and(|view| now.saturating_duration_since(view) <= facts.self_fencing_timeout())
+            .is_some_and(|known_until| now.saturating_duration_since(known_until) <= facts.self_fencing_timeout())
     }
 
-    /// Notes when the right to answer reports lapses, and when it is there again.
-    pub fn note_reporting_right(&mut self, now: Instant, entitled: bool) {
-        if self.refusing_reports != entitled {
+    /// Logs when this leader stops responding to reports, and when it resumes.
+    pub fn note_reporting_right(&mut self, now: Instant, may_respond: bool) {
+        if self.refusing_reports != may_respond {
             return;
         }
-        self.refusing_reports = !entitled;
-        let view_age_ms =
-            self.cancellations_known_until.map(|view| now.saturating_duration_since(view).as_millis() as u64);
+        self.refusing_reports = !may_respond;
+        let view_age_ms = self
+            .cancellations_known_until
+            .map(|known_until| now.saturating_duration_since(known_until).as_millis() as u64);
         let renewed_ms = now.saturating_duration_since(self.lease_renewed_at).as_millis() as u64;
-        let answered = if entitled { "again" } else { "no more" };
+        let change = if may_respond { "resumed" } else { "stopped" };
         let token = self.token;
-        tracing::info!(
-            token,
-            view_age_ms,
-            renewed_ms,
-            revision = self.watch_revision,
-            "reports are answered {answered}"
-        );
+        tracing::info!(token, view_age_ms, renewed_ms, revision = self.watch_revision, "responses to reports {change}");
     }
 
-    /// A renewal that was sent then is confirmed; true if renewals have succeeded for so long
-    /// without any sign of what users cancel that another node should lead.
+    /// Records a confirmed renewal of the lease. Returns whether renewals have succeeded for so long
+    /// without any news of cancellations that another node should lead.
     pub fn lease_renewed(&mut self, sent: Instant, ttl: Duration, facts: &Facts) -> bool {
         self.renewed_without_watch += sent.saturating_duration_since(self.lease_renewed_at).min(ttl);
         self.lease_renewed_at = self.lease_renewed_at.max(sent);
         self.renewed_without_watch > facts.self_fencing_timeout() / 2
     }
 
-    /// Direct calls come in bursts, after a takeover to hundreds of machines, and each takes a
-    /// connection. When ticks come late the processor is short: then fewer are begun at each, so
-    /// that renewals, reports and users go on, and what is ordered goes with answers to reports.
-    pub fn adjust_direct_call_rate(&mut self, late: Duration, env: &Env) {
-        self.direct_calls_per_tick = if late > LATE {
+    /// Adjusts the number of direct calls per tick. Direct calls come in bursts, after a takeover to
+    /// hundreds of machines, and each needs a connection. Late ticks show that the processor is
+    /// overloaded. Then fewer calls are started per tick, which leaves time for lease renewals, reports
+    /// and users; orders go with the responses to reports instead.
+    pub fn adjust_direct_call_rate(&mut self, tick_delay: Duration, env: &Env) {
+        self.direct_calls_per_tick = if tick_delay > MAX_TICK_DELAY {
             self.direct_calls_per_tick / 2
         } else {
             self.direct_calls_per_tick + self.direct_calls_per_tick / 4 + 1
         };
-        self.direct_calls_per_tick =
-            self.direct_calls_per_tick.clamp(LEAST_GRANT.min(env.facts.max_direct_calls), env.facts.max_direct_calls);
+        self.direct_calls_per_tick = self
+            .direct_calls_per_tick
+            .clamp(MIN_CALLS_PER_TICK.min(env.facts.max_direct_calls), env.facts.max_direct_calls);
     }
 
-    /// How many direct calls may be begun now.
+    /// Returns the number of direct calls that may be started now.
     pub fn available_direct_calls(&self, env: &Env) -> usize {
         self.direct_call_budget.min(env.facts.max_direct_calls.saturating_sub(self.direct_calls_in_flight))
     }
 
+    /// Counts a direct call that was started.
     pub fn direct_call_started(&mut self) {
         self.direct_calls_in_flight += 1;
         self.direct_call_budget = self.direct_call_budget.saturating_sub(1);
     }
 
-    /// Every cancellation that was confirmed before this moment is known.
-    pub fn note_cancellations_known(&mut self, to: Instant) {
-        self.cancellations_known_until = Some(self.cancellations_known_until.map_or(to, |view| view.max(to)));
+    /// Records that every cancellation confirmed before this time is known.
+    pub fn note_cancellations_known(&mut self, time: Instant) {
+        self.cancellations_known_until =
+            Some(self.cancellations_known_until.map_or(time, |known_until| known_until.max(time)));
         self.renewed_without_watch = Duration::ZERO;
     }
 }
 
-/// The balancer of a new term, if the operators switched load spreading on.
+/// Returns the balancer of a new term, if rebalancing is enabled.
 fn balancer(facts: &Facts, policy: &Policy) -> Option<Balancer> {
     let settings = policy.balance.clone()?;
     let teams = facts.teams.iter().map(|(name, team)| {
