--- a/crates/core/tests/failover/evacuation.rs
+++ b/crates/core/tests/failover/evacuation.rs
@@ -1,4 +1,4 @@
-//! Zones that are lost: the verdict, the order of placement, and what waits.
+//! Zones that are lost: detection, the order in which evacuated tasks are placed, and tasks that must wait.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,234 +10,256 @@
 use crate::support::*;
 
 #[test]
-fn a_lost_zone_is_judged_within_seconds_and_its_work_runs_elsewhere() {
-    for policy in [on(), off()] {
-        let judged = policy.failover.is_some();
-        let mut world = at_work(12, policy);
+fn a_lost_zone_is_declared_within_seconds_and_its_tasks_run_elsewhere() {
+    for policy in [failover_on(), failover_off()] {
+        let failover_enabled = policy.failover.is_some();
+        let mut world = busy_fleet(12, policy);
         let zone = zone_without_leader(&world);
-        cut(&mut world, zone);
-        if judged {
-            let took = until_state(&mut world, zone, "lost", secs(7));
-            // Overdue after 2.8 s, a call that fails after 1.5 s, and the time to confirm.
-            assert!(took > secs(3), "judged too early: {took:?}");
+        partition_zone(&mut world, zone);
+        if failover_enabled {
+            let elapsed = run_until_zone_state(&mut world, zone, "lost", secs(7));
+            // Reports are overdue after 2.8 s, a direct call fails after 1.5 s, and the loss must be confirmed.
+            assert!(elapsed > secs(3), "declared lost too early: {elapsed:?}");
         }
-        let all = running(&world);
+        let running_before = total_running_tasks(&world);
         world.run(secs(35));
-        assert!(running(&world) >= all, "{} of {all} run", running(&world));
-        assert_eq!(world.store.rows.contains_key(RECORD), judged);
-        restore(&mut world);
-        ends_well(&mut world);
+        assert!(
+            total_running_tasks(&world) >= running_before,
+            "{} of {running_before} run",
+            total_running_tasks(&world)
+        );
+        assert_eq!(world.store.rows.contains_key(ZONES_KEY), failover_enabled);
+        end_partitions(&mut world);
+        check_recovery(&mut world);
     }
 }
 
 #[test]
-fn single_machines_that_die_and_a_half_cut_zone_are_not_lost() {
-    let mut world = at_work(24, on());
+fn dead_machines_and_a_partly_partitioned_zone_are_not_declared_lost() {
+    let mut world = busy_fleet(24, failover_on());
     let zone = zone_without_leader(&world);
-    let there = machines_in(&world, ZONES[zone]);
-    world.workers.remove(&there[0]);
+    let zone_machines = machines_in(&world, ZONES[zone]);
+    world.workers.remove(&zone_machines[0]);
     world.run(secs(20));
-    assert_eq!(recorded_state(&world, zone), "healthy");
-    // Five of the seven that are left: suspected, but what answers keeps its work.
-    world.cut.extend(there[1..6].iter().cloned());
+    assert_eq!(zone_state(&world, zone), "healthy");
+    // Five of the seven remaining machines are partitioned: the zone is suspect, but machines that respond keep
+    // their tasks.
+    world.cut.extend(zone_machines[1..6].iter().cloned());
     world.run(secs(9));
-    assert_eq!(recorded_state(&world, zone), "suspect");
-    let kept: Vec<&String> = there[6..].iter().collect();
-    assert!(kept.iter().all(|name| world.workers[*name].session == 1), "a machine in reach lost its lease");
-    ends_well(&mut world);
-    assert_eq!(recorded(&world, zone), None);
+    assert_eq!(zone_state(&world, zone), "suspect");
+    let reachable: Vec<&String> = zone_machines[6..].iter().collect();
+    assert!(reachable.iter().all(|name| world.workers[*name].session == 1), "the lease of a reachable machine expired");
+    check_recovery(&mut world);
+    assert_eq!(zone_record(&world, zone), None);
 }
 
 #[test]
-fn a_deployment_of_one_zone_and_a_leader_cut_off_from_most_judge_nothing() {
-    let mut world = World::deployed(deployment(), 6, on(), &["a"]);
+fn a_leader_partitioned_from_its_only_zone_declares_nothing_lost() {
+    let mut world = World::deployed(deployment_facts(), 6, failover_on(), &["a"]);
     world.run(secs(6));
     assert_eq!(world.submit(0, service(1, 12)), Some(201));
     world.run(secs(3));
     let machines: Vec<String> = world.workers.keys().cloned().collect();
     world.cut.extend(machines);
     world.run(secs(9));
-    assert!(!world.store.rows.contains_key(RECORD), "a fleet of one zone was judged");
-    ends_well(&mut world);
+    assert!(!world.store.rows.contains_key(ZONES_KEY), "the state of the only zone was recorded");
+    check_recovery(&mut world);
 }
 
-/// Starts of a later tier while an earlier one waited: all tasks here fit on any machine. `lost` has what each
-/// job lost with the zone; nothing waits before the leases end, at `from`.
-fn inversions(starts: &Starts, order: &[u32], lost: &BTreeMap<u32, usize>, from: Duration) -> usize {
-    let mut inverted = 0;
-    for (n, earlier) in order.iter().enumerate().filter(|(_, id)| lost.get(id).is_some_and(|tasks| *tasks > 0)) {
-        let whole = starts.of(*earlier) >= lost[earlier];
-        let waited_until = starts.span(*earlier).map(|(_, last)| last).filter(|_| whole);
-        for later in &order[n + 1..] {
+/// Returns the number of starts of a later tier while tasks of an earlier tier waited; every task here fits on any
+/// machine. `lost_tasks` is the number of tasks that each job lost with the zone. No task waits before the leases
+/// expire, at `leases_expire`.
+fn inversions(log: &StartLog, tier_order: &[u32], lost_tasks: &BTreeMap<u32, usize>, leases_expire: Duration) -> usize {
+    let mut inversions_found = 0;
+    for (n, earlier) in
+        tier_order.iter().enumerate().filter(|(_, id)| lost_tasks.get(id).is_some_and(|tasks| *tasks > 0))
+    {
+        let recovered = log.count_of(*earlier) >= lost_tasks[earlier];
+        let waited_until = log.time_span_of(*earlier).map(|(_, last)| last).filter(|_| recovered);
+        for later in &tier_order[n + 1..] {
             let prefix = format!("{}/", job_id(*later));
-            let began = starts.began.iter().filter(|(_, task, _)| task.starts_with(&prefix));
-            let began = began.filter(|(at, ..)| *at >= from);
-            inverted += began.filter(|(at, ..)| waited_until.is_none_or(|until| *at < until)).count();
+            let started = log.starts.iter().filter(|(_, task, _)| task.starts_with(&prefix));
+            let started = started.filter(|(at, ..)| *at >= leases_expire);
+            inversions_found += started.filter(|(at, ..)| waited_until.is_none_or(|until| *at < until)).count();
         }
     }
-    inverted
+    inversions_found
 }
 
 #[test]
-fn work_of_a_lost_zone_is_placed_by_tiers_with_room_for_a_part_only() {
-    // By priority, and by the tiers that operators name, against the priorities.
-    let named = |name: &str, class: &str| Tier { name: name.into(), classes: vec![class.into()] };
-    let tiers = vec![named("first", "reruns"), named("second", "sheets")];
-    let by_name = FailoverSettings { tiers, ..FailoverSettings::default() };
-    // The whole fleet is full: a third of it is lost.
-    let jobs =
+fn evacuated_tasks_are_placed_by_tier_when_resources_are_short() {
+    // Once by priority, and once by configured tiers in an order that contradicts the priorities.
+    let tier = |name: &str, class: &str| Tier { name: name.into(), classes: vec![class.into()] };
+    let tiers = vec![tier("first", "reruns"), tier("second", "sheets")];
+    let named_tiers = FailoverSettings { tiers, ..FailoverSettings::default() };
+    // The whole fleet is full, and a third of it is lost.
+    let job_parameters =
         [(3, 88, "sheets", Priority::High), (4, 88, "reruns", Priority::Normal), (5, 16, "lab", Priority::BestEffort)];
-    for (policy, order) in [(on(), [3, 4, 5]), (with(by_name), [4, 3, 5])] {
-        // Few machines are weighed at a time, as in a large fleet.
+    for (policy, tier_order) in [(failover_on(), [3, 4, 5]), (failover_policy(named_tiers), [4, 3, 5])] {
+        // Each placement considers few machines, as in a large fleet.
         let mut world = fleet(12, Policy { placement_sample: 2, ..policy });
-        for (id, tasks, class, priority) in jobs {
+        for (id, tasks, class, priority) in job_parameters {
             let team = if id == 4 { "red" } else { "blue" }.to_owned();
-            let spec = JobSpec { class: class.into(), team, ..long(id, tasks, priority) };
+            let spec = JobSpec { class: class.into(), team, ..long_job(id, tasks, priority) };
             assert_eq!(world.submit(0, spec), Some(201));
         }
         world.run(secs(10));
         let zone = zone_without_leader(&world);
-        let there = machines_in(&world, ZONES[zone]);
-        let inside = |id: u32| world.where_runs(&job_id(id)).iter().filter(|(_, on)| there.contains(on)).count();
-        let lost: BTreeMap<u32, usize> = order.iter().map(|id| (*id, inside(*id))).collect();
-        cut(&mut world, zone);
-        // Leases of 12 s, renewed 2 s before at the most.
-        let leases_end = world.now + secs(10);
-        let mut starts = watching(&mut world);
-        // The leases end; a burst of the last tier comes just then.
-        starts.watch(&mut world, secs(9));
-        assert_eq!(world.submit(world.leader().expect("a leader"), long(6, 60, Priority::BestEffort)), Some(201));
-        starts.watch(&mut world, secs(22));
-        let all: usize = order.iter().map(|id| count(&world, *id)).sum();
-        assert_eq!(all, 128, "room elsewhere stays unused");
-        let regained = count(&world, order[0]) + lost[&order[0]] - 88;
-        assert!(lost[&order[0]] > 20 && regained >= 8, "{regained} of {lost:?} of the first tier run again");
-        assert_eq!(inversions(&starts, &order, &lost, leases_end), 0, "{:?}", starts.began);
-        let with_burst = [order[0], order[1], 6];
-        assert_eq!(inversions(&starts, &with_burst, &lost, leases_end), 0, "a burst of the last tier went first");
-        // There is no room for all of it in the whole fleet.
+        let zone_machines = machines_in(&world, ZONES[zone]);
+        let tasks_in_zone =
+            |id: u32| world.where_runs(&job_id(id)).iter().filter(|(_, m)| zone_machines.contains(m)).count();
+        let lost_tasks: BTreeMap<u32, usize> = tier_order.iter().map(|id| (*id, tasks_in_zone(*id))).collect();
+        partition_zone(&mut world, zone);
+        // Leases last 12 s, and were renewed at most 2 s before the partition.
+        let leases_expire = world.now + secs(10);
+        let mut log = start_log(&mut world);
+        // A burst of the last tier is submitted just as the leases expire.
+        log.run(&mut world, secs(9));
+        assert_eq!(world.submit(world.leader().expect("a leader"), long_job(6, 60, Priority::BestEffort)), Some(201));
+        log.run(&mut world, secs(22));
+        let placed: usize = tier_order.iter().map(|id| running_tasks_of(&world, *id)).sum();
+        assert_eq!(placed, 128, "resources elsewhere stay unused");
+        let recovered_tasks = running_tasks_of(&world, tier_order[0]) + lost_tasks[&tier_order[0]] - 88;
+        assert!(
+            lost_tasks[&tier_order[0]] > 20 && recovered_tasks >= 8,
+            "{recovered_tasks} of {lost_tasks:?} of the first tier run again"
+        );
+        assert_eq!(inversions(&log, &tier_order, &lost_tasks, leases_expire), 0, "{:?}", log.starts);
+        let tier_order_with_burst = [tier_order[0], tier_order[1], 6];
+        assert_eq!(
+            inversions(&log, &tier_order_with_burst, &lost_tasks, leases_expire),
+            0,
+            "a burst of the last tier was started first"
+        );
+        // The fleet is too small for the whole burst.
         let leader = world.leader().expect("a leader");
         assert!(world.cancel(leader, &job_id(6)).is_some());
-        restore(&mut world);
-        ends_well(&mut world);
+        end_partitions(&mut world);
+        check_recovery(&mut world);
     }
 }
 
 #[test]
-fn what_cannot_go_elsewhere_waits_in_nobodys_way_and_is_not_lost() {
-    let mut world = fleet(12, on());
+fn tasks_bound_to_a_lost_zone_wait_without_blocking_others() {
+    let mut world = fleet(12, failover_on());
     let zone = zone_without_leader(&world);
-    let bound = JobSpec { zone: Some(ZONES[zone].into()), ..long(3, 12, Priority::High) };
-    assert_eq!(world.submit(0, bound.clone()), Some(201));
-    assert_eq!(world.submit(0, long(4, 40, Priority::BestEffort)), Some(201));
-    // So many more that their turns alone would use up a pass.
+    let zone_bound = JobSpec { zone: Some(ZONES[zone].into()), ..long_job(3, 12, Priority::High) };
+    assert_eq!(world.submit(0, zone_bound.clone()), Some(201));
+    assert_eq!(world.submit(0, long_job(4, 40, Priority::BestEffort)), Some(201));
     world.run(secs(6));
-    cut(&mut world, zone);
+    partition_zone(&mut world, zone);
     let leader = world.leader().expect("a leader");
+    // So many zone-bound jobs that they alone would use up a scheduling pass.
     for id in 100..180 {
-        let one = JobSpec { zone: Some(ZONES[zone].into()), cpus: 0.5, ..long(id, 1, Priority::High) };
-        assert_eq!(world.submit(leader, one), Some(201));
+        let spec = JobSpec { zone: Some(ZONES[zone].into()), cpus: 0.5, ..long_job(id, 1, Priority::High) };
+        assert_eq!(world.submit(leader, spec), Some(201));
     }
     world.run(secs(20));
-    assert_eq!(count(&world, 4), 40, "the lower tier waits behind what is bound to the lost zone");
-    assert_eq!(count(&world, 3), 0);
-    let fresh = JobSpec { one_zone: true, ..long(5, 20, Priority::Normal) };
-    assert_eq!(world.submit(leader, fresh), Some(201));
+    assert_eq!(running_tasks_of(&world, 4), 40, "the lower tier waits behind tasks bound to the lost zone");
+    assert_eq!(running_tasks_of(&world, 3), 0);
+    let single_zone_job = JobSpec { one_zone: true, ..long_job(5, 20, Priority::Normal) };
+    assert_eq!(world.submit(leader, single_zone_job), Some(201));
     world.run(secs(4));
-    assert_eq!(count(&world, 5), 20, "a job that must be together chose the lost zone");
-    restore(&mut world);
+    assert_eq!(running_tasks_of(&world, 5), 20, "a single-zone job was placed in the lost zone");
+    end_partitions(&mut world);
     world.run(secs(25));
-    assert_eq!(count(&world, 3), 12, "it is not lost");
-    ends_well(&mut world);
+    assert_eq!(running_tasks_of(&world, 3), 12, "tasks bound to the zone were lost");
+    check_recovery(&mut world);
 }
 
 #[test]
-fn machines_are_rented_when_the_zone_is_lost_and_no_more_once_it_is_back() {
-    for (cut_s, expected) in [(7, false), (30, true)] {
-        let mut world = at_work(12, on());
+fn machines_are_rented_for_a_lost_zone_only_until_it_returns() {
+    for (partition_s, rentals_expected) in [(7, false), (30, true)] {
+        let mut world = busy_fleet(12, failover_on());
         world.cloud.capacity = 40;
         let zone = zone_without_leader(&world);
-        let before = world.cloud.machines.len();
-        cut(&mut world, zone);
-        world.run(secs(cut_s));
-        let during = world.cloud.machines.len();
-        assert!(during > before || !expected, "no machines were rented in {cut_s} s");
-        let elsewhere = world.cloud.machines.iter().skip(before).all(|(_, rented)| rented.zone != ZONES[zone]);
+        let machines_before = world.cloud.machines.len();
+        partition_zone(&mut world, zone);
+        world.run(secs(partition_s));
+        let machines_during = world.cloud.machines.len();
+        assert!(machines_during > machines_before || !rentals_expected, "no machines were rented in {partition_s} s");
+        let elsewhere = world.cloud.machines.iter().skip(machines_before).all(|(_, rented)| rented.zone != ZONES[zone]);
         assert!(elsewhere, "machines were rented in the lost zone");
-        restore(&mut world);
+        end_partitions(&mut world);
         world.run(secs(12));
-        assert!(world.cloud.machines.len() <= during, "machines were rented after the return");
-        ends_well(&mut world);
+        assert!(world.cloud.machines.len() <= machines_during, "machines were rented after the zone returned");
+        check_recovery(&mut world);
     }
 }
 
 #[test]
-fn a_task_at_its_bound_waits_for_the_word_of_its_zone_or_a_confirmed_return() {
+fn a_task_at_its_rerun_limit_waits_for_its_zone_or_a_confirmed_release() {
     let settings = FailoverSettings {
         max_reruns: BTreeMap::from([("settlement".to_owned(), 0)]),
         machine_retention: secs(40),
         ..FailoverSettings::default()
     };
     for returns in [true, false] {
-        let mut world = fleet(12, with(settings.clone()));
-        let settlement = JobSpec { class: "settlement".into(), ..long(3, 36, Priority::Normal) };
-        assert_eq!(world.submit(0, settlement), Some(201));
-        assert_eq!(world.submit(1, long(4, 36, Priority::Normal)), Some(201));
+        let mut world = fleet(12, failover_policy(settings.clone()));
+        let settlement_job = JobSpec { class: "settlement".into(), ..long_job(3, 36, Priority::Normal) };
+        assert_eq!(world.submit(0, settlement_job), Some(201));
+        assert_eq!(world.submit(1, long_job(4, 36, Priority::Normal)), Some(201));
         world.run(secs(6));
         let zone = zone_without_leader(&world);
-        let there = machines_in(&world, ZONES[zone]);
-        let lost = world.where_runs(&job_id(3)).iter().filter(|(_, machine)| there.contains(machine)).count();
-        assert!(lost > 0);
-        cut(&mut world, zone);
+        let zone_machines = machines_in(&world, ZONES[zone]);
+        let lost_tasks =
+            world.where_runs(&job_id(3)).iter().filter(|(_, machine)| zone_machines.contains(machine)).count();
+        assert!(lost_tasks > 0);
+        partition_zone(&mut world, zone);
         world.run(secs(30));
-        // The leases are over, and there is room elsewhere.
-        assert_eq!((count(&world, 3), count(&world, 4)), (36 - lost, 36), "begun anew beyond the bound");
+        // The leases have expired, and there are resources elsewhere.
+        assert_eq!(
+            (running_tasks_of(&world, 3), running_tasks_of(&world, 4)),
+            (36 - lost_tasks, 36),
+            "rerun beyond the limit"
+        );
         if returns {
-            restore(&mut world);
+            end_partitions(&mut world);
             world.run(secs(12));
         } else {
-            // The machines are returned to the cloud in the end, which proves them empty.
+            // The machines are released to the cloud in the end, which proves that their tasks have ended.
             world.run(secs(40));
         }
-        assert_eq!(count(&world, 3), 36, "returns: {returns}");
-        ends_well(&mut world);
+        assert_eq!(running_tasks_of(&world, 3), 36, "returns: {returns}");
+        check_recovery(&mut world);
     }
 }
 
 #[test]
-fn counts_of_reruns_outlive_leaders() {
+fn rerun_counts_survive_leader_changes() {
     let settings = FailoverSettings {
         max_reruns: BTreeMap::from([("settlement".to_owned(), 1)]),
         machine_retention: secs(60),
         ..FailoverSettings::default()
     };
-    let mut world = fleet(12, with(settings));
-    assert_eq!(world.submit(0, JobSpec { class: "settlement".into(), ..long(3, 60, Priority::Normal) }), Some(201));
+    let mut world = fleet(12, failover_policy(settings));
+    assert_eq!(world.submit(0, JobSpec { class: "settlement".into(), ..long_job(3, 60, Priority::Normal) }), Some(201));
     world.run(secs(6));
-    let mut starts = watching(&mut world);
+    let mut log = start_log(&mut world);
     for round in 0..3 {
         let leader = world.leader().expect("a leader");
         let zone = (leader + 1 + round % 2) % 3;
-        cut(&mut world, zone);
-        starts.watch(&mut world, secs(20));
+        partition_zone(&mut world, zone);
+        log.run(&mut world, secs(20));
         world.crash(leader);
-        starts.watch(&mut world, secs(8));
+        log.run(&mut world, secs(8));
         world.start_node(leader);
-        restore(&mut world);
-        starts.watch(&mut world, secs(30));
+        end_partitions(&mut world);
+        log.run(&mut world, secs(30));
     }
-    // Each task may begin once before a bound holds; beyond it the machine's own word lets it begin.
-    assert_eq!(count(&world, 3), 60);
+    // Each task may be rerun once before its limit is reached; after that it runs again only once its own machine
+    // confirms that it has ended.
+    assert_eq!(running_tasks_of(&world, 3), 60);
     let counted = world.store.rows.iter().filter(|(key, _)| key.starts_with("log/") || key.starts_with("task/"));
     let counted = counted.filter(|(_, row)| row.0.to_string().contains("zone_reruns")).count();
-    assert!(counted > 0, "no count is durable");
-    ends_well(&mut world);
+    assert!(counted > 0, "no rerun count is recorded");
+    check_recovery(&mut world);
 }
 
 #[test]
-fn cancellations_and_kept_results_among_the_cut_are_settled() {
-    let mut world = at_work(12, on());
-    // A job whose tasks end while their zone is cut off: its results are kept and taken.
+fn cancellations_and_kept_results_in_a_partitioned_zone_are_settled() {
+    let mut world = busy_fleet(12, failover_on());
+    // Tasks that finish while their zone is partitioned: workers keep the results, and the leader accepts them later.
     for worker in world.workers.values_mut() {
         worker.run_s = 14.0;
     }
@@ -245,20 +267,20 @@
     world.run(secs(11));
     let zone = zone_without_leader(&world);
     let leader = world.leader().expect("a leader");
-    let began = world.started;
-    cut(&mut world, zone);
+    let started_before = world.started;
+    partition_zone(&mut world, zone);
     world.run(secs(2));
     assert_eq!(
         world.cancel(leader, &job_id(3)).and_then(|(_, view)| view).map(|view| view.state),
         Some(JobStatus::Cancelled)
     );
-    // Shorter than it takes for a lease to end.
+    // Shorter than the time until a lease expires.
     world.run(millis(2500));
-    restore(&mut world);
+    end_partitions(&mut world);
     world.run(secs(12));
-    assert_eq!(world.state(0, &job_id(5)), Some(JobStatus::Done), "a kept result was not taken");
-    assert_eq!(world.started, began, "what had ended was run again");
-    assert_eq!(count(&world, 3), 0);
+    assert_eq!(world.state(0, &job_id(5)), Some(JobStatus::Done), "a kept result was not accepted");
+    assert_eq!(world.started, started_before, "a finished task was run again");
+    assert_eq!(running_tasks_of(&world, 3), 0);
     world.run(millis(100));
-    ends_well(&mut world);
+    check_recovery(&mut world);
 }
--- a/crates/core/tests/failover/leaders.rs
+++ b/crates/core/tests/failover/leaders.rs
@@ -1,4 +1,4 @@
-//! Zones that are lost while leaders end, give way or change, and while the state service is silent.
+//! Zones that are lost while leaders crash, step down or change, and while the state service is down.
 
 use rushyoke_core::Policy;
 use rushyoke_testkit::{World, job_id, millis, secs};
@@ -6,105 +6,110 @@
 
 use crate::support::*;
 
-/// Another process leads from now on; the old one is back after a while.
-fn change_leader(world: &mut World, starts: &mut Starts) {
+/// Crashes the leader, and restarts it once another node leads.
+fn change_leader(world: &mut World, log: &mut StartLog) {
     let leader = world.leader().expect("a leader");
     world.crash(leader);
-    starts.watch(world, secs(5));
+    log.run(world, secs(5));
     world.start_node(leader);
-    assert!(world.leader().is_some_and(|new| new != leader), "no other leader");
+    assert!(world.leader().is_some_and(|new_leader| new_leader != leader), "no other node leads");
 }
 
 #[test]
-fn three_flaps_in_five_minutes_with_another_leader_in_each_gap_are_one_evacuation() {
-    let mut world = at_work(24, on());
+fn three_flaps_in_five_minutes_with_leader_changes_cause_one_evacuation() {
+    let mut world = busy_fleet(24, failover_on());
     let zone = zone_without_leader(&world);
-    let mut starts = watching(&mut world);
-    let mut begun = Vec::new();
+    let mut log = start_log(&mut world);
+    let mut starts_per_flap = Vec::new();
     for _ in 0..3 {
-        let before = starts.began.len();
-        cut(&mut world, zone);
-        starts.watch(&mut world, secs(20));
-        restore(&mut world);
-        starts.watch(&mut world, secs(20));
-        begun.push(starts.began.len() - before);
-        assert!(matches!(recorded(&world, zone), Some((_, 1))), "{:?}", recorded(&world, zone));
-        change_leader(&mut world, &mut starts);
-        starts.watch(&mut world, secs(50));
+        let starts_before = log.starts.len();
+        partition_zone(&mut world, zone);
+        log.run(&mut world, secs(20));
+        end_partitions(&mut world);
+        log.run(&mut world, secs(20));
+        starts_per_flap.push(log.starts.len() - starts_before);
+        assert!(matches!(zone_record(&world, zone), Some((_, 1))), "{:?}", zone_record(&world, zone));
+        change_leader(&mut world, &mut log);
+        log.run(&mut world, secs(50));
     }
-    assert!(begun[0] > 20 && begun[1] * 4 <= begun[0] && begun[2] * 4 <= begun[0], "begun anew: {begun:?}");
-    // The first evacuation moved it; no replica began twice.
-    assert_eq!(starts.most(&[1, 2]), 1, "a replica began twice");
-    ends_well(&mut world);
+    assert!(
+        starts_per_flap[0] > 20
+            && starts_per_flap[1] * 4 <= starts_per_flap[0]
+            && starts_per_flap[2] * 4 <= starts_per_flap[0],
+        "starts per flap: {starts_per_flap:?}"
+    );
+    // The first evacuation moved the replicas; none was started twice.
+    assert_eq!(log.max_machines_per_task(&[1, 2]), 1, "a replica was started twice");
+    check_recovery(&mut world);
 }
 
 #[test]
-fn a_new_leader_forgets_no_probation_and_evacuates_nothing_twice() {
-    let mut world = at_work_with_long_leases(24, on());
+fn a_new_leader_continues_a_probation_and_evacuates_nothing_twice() {
+    let mut world = busy_fleet_with_long_leases(24, failover_on());
     let zone = zone_without_leader(&world);
-    cut(&mut world, zone);
-    let mut starts = watching(&mut world);
-    starts.watch(&mut world, secs(24));
-    let evacuated = starts.began.len();
-    assert!(evacuated > 20, "{evacuated} tasks began elsewhere");
-    change_leader(&mut world, &mut starts);
-    assert_eq!(recorded(&world, zone), Some(("lost".into(), 1)));
-    starts.watch(&mut world, secs(15));
-    assert_eq!(starts.most(&[1, 2]), 1, "evacuated twice");
-    restore(&mut world);
-    until_state(&mut world, zone, "returning", secs(10));
-    change_leader(&mut world, &mut starts);
-    starts.watch(&mut world, secs(20));
-    assert_eq!(recorded(&world, zone), Some(("returning".into(), 1)), "probation is forgotten");
-    ends_well(&mut world);
+    partition_zone(&mut world, zone);
+    let mut log = start_log(&mut world);
+    log.run(&mut world, secs(24));
+    let evacuated_tasks = log.starts.len();
+    assert!(evacuated_tasks > 20, "only {evacuated_tasks} tasks were started elsewhere");
+    change_leader(&mut world, &mut log);
+    assert_eq!(zone_record(&world, zone), Some(("lost".into(), 1)));
+    log.run(&mut world, secs(15));
+    assert_eq!(log.max_machines_per_task(&[1, 2]), 1, "a replica was evacuated twice");
+    end_partitions(&mut world);
+    run_until_zone_state(&mut world, zone, "returning", secs(10));
+    change_leader(&mut world, &mut log);
+    log.run(&mut world, secs(20));
+    assert_eq!(zone_record(&world, zone), Some(("returning".into(), 1)), "the new leader ended the probation");
+    check_recovery(&mut world);
     world.run(secs(90));
-    assert_eq!(recorded_state(&world, zone), "healthy", "probation does not end");
+    assert_eq!(zone_state(&world, zone), "healthy", "the probation does not end");
 }
 
 #[test]
-fn the_lost_zone_holds_the_leader() {
-    let mut world = at_work(24, on());
+fn a_lost_zone_contains_the_leader() {
+    let mut world = busy_fleet(24, failover_on());
     let zone = world.leader().expect("a leader");
-    let all = running(&world);
-    cut(&mut world, zone);
+    let running_before = total_running_tasks(&world);
+    partition_zone(&mut world, zone);
     world.run(secs(4));
-    assert!(world.leader().is_some_and(|new| new != zone), "no leader outside");
-    until_state(&mut world, zone, "lost", secs(14));
-    // The old leader may have answered inside for its whole allowance, then a lease.
+    assert!(world.leader().is_some_and(|new_leader| new_leader != zone), "no leader outside the lost zone");
+    run_until_zone_state(&mut world, zone, "lost", secs(14));
+    // The old leader may respond inside the zone for as long as it is allowed to, and the leases outlast that.
     world.run(secs(45));
-    assert_eq!(running(&world), all);
-    restore(&mut world);
-    ends_well(&mut world);
+    assert_eq!(total_running_tasks(&world), running_before);
+    end_partitions(&mut world);
+    check_recovery(&mut world);
 }
 
 #[test]
-fn a_leader_that_keeps_the_state_service_and_loses_all_but_its_zone_gives_way() {
-    let mut world = at_work(24, on());
+fn a_leader_that_reaches_only_its_own_zone_and_the_store_steps_down() {
+    let mut world = busy_fleet(24, failover_on());
     let zone = world.leader().expect("a leader");
     let inside = machines_in(&world, ZONES[zone]);
-    let before: Vec<String> = world.workers.keys().cloned().collect();
+    let machines: Vec<String> = world.workers.keys().cloned().collect();
     world.no_peers.insert(zone);
-    for machine in &before {
+    for machine in &machines {
         let links = (0..3).filter(|node| inside.contains(machine) != (*node == zone));
         world.cut_links.extend(links.map(|node| (node, machine.clone())));
     }
     world.run(secs(12));
-    assert!(world.leader().is_some_and(|new| new != zone), "it keeps the others from their work");
+    assert!(world.leader().is_some_and(|new_leader| new_leader != zone), "the partitioned leader did not step down");
     world.run(secs(10));
     let outside = world.workers.values().filter(|worker| !inside.contains(&worker.name));
     assert!(
         outside.clone().count() == 16 && outside.clone().all(|worker| worker.session == 1),
-        "a lease ended outside"
+        "a lease expired outside the zone"
     );
     world.cut_links.clear();
-    restore(&mut world);
-    ends_well(&mut world);
+    end_partitions(&mut world);
+    check_recovery(&mut world);
 }
 
 #[test]
-fn a_zone_whose_controller_keeps_its_peers_and_loses_the_state_service_is_not_lost() {
-    // Its workers reach only that controller, which hands their reports on and the answers back.
-    let mut world = at_work(24, on());
+fn a_zone_whose_controller_loses_only_the_store_is_not_declared_lost() {
+    // The zone's workers reach only its controller, which relays their reports and the responses.
+    let mut world = busy_fleet(24, failover_on());
     let zone = zone_without_leader(&world);
     let inside = machines_in(&world, ZONES[zone]);
     world.no_store.insert(zone);
@@ -113,131 +118,131 @@
         let worker = world.workers.get_mut(machine).expect("up");
         (worker.node, worker.waiting) = (zone, None);
     }
-    let all = running(&world);
+    let running_before = total_running_tasks(&world);
     world.run(secs(30));
-    assert_ne!(recorded_state(&world, zone), "lost");
-    assert_eq!(running(&world), all);
-    assert!(inside.iter().all(|machine| world.workers[machine].session == 1), "a lease ended");
+    assert_ne!(zone_state(&world, zone), "lost");
+    assert_eq!(total_running_tasks(&world), running_before);
+    assert!(inside.iter().all(|machine| world.workers[machine].session == 1), "a lease expired");
     world.cut_links.clear();
-    restore(&mut world);
-    ends_well(&mut world);
+    end_partitions(&mut world);
+    check_recovery(&mut world);
 }
 
 #[test]
-fn a_second_zone_is_lost_while_the_first_returns_and_the_state_service_is_down_during_a_verdict() {
-    for down in [false, true] {
-        let mut world = at_work(24, on());
+fn a_second_zone_is_lost_while_the_first_returns_with_or_without_a_store_outage() {
+    for store_down in [false, true] {
+        let mut world = busy_fleet(24, failover_on());
         let zone = zone_without_leader(&world);
         let leader = world.leader().expect("a leader");
         let second = 3 - zone - leader;
-        if down {
+        if store_down {
             world.store.outage = true;
         }
-        cut(&mut world, zone);
+        partition_zone(&mut world, zone);
         world.run(secs(8));
-        if down {
+        if store_down {
             let now = world.now;
             world.store.end_outage(now);
         }
-        until_state(&mut world, zone, "lost", secs(6));
+        run_until_zone_state(&mut world, zone, "lost", secs(6));
         world.run(secs(12));
-        restore(&mut world);
-        until_state(&mut world, zone, "returning", secs(10));
-        cut(&mut world, second);
-        until_state(&mut world, second, "lost", secs(9));
-        assert_eq!(recorded(&world, zone), Some(("returning".into(), 1)));
+        end_partitions(&mut world);
+        run_until_zone_state(&mut world, zone, "returning", secs(10));
+        partition_zone(&mut world, second);
+        run_until_zone_state(&mut world, second, "lost", secs(9));
+        assert_eq!(zone_record(&world, zone), Some(("returning".into(), 1)));
         world.run(secs(25));
-        restore(&mut world);
-        ends_well(&mut world);
+        end_partitions(&mut world);
+        check_recovery(&mut world);
     }
 }
 
 #[test]
-fn cancellations_hold_for_a_zone_that_is_cut_off_with_the_leader() {
-    for moment in [0, 2500, 9000, 14_000] {
-        let mut world = at_work(24, on());
+fn cancellations_hold_for_a_zone_partitioned_with_the_leader() {
+    for delay_ms in [0, 2500, 9000, 14_000] {
+        let mut world = busy_fleet(24, failover_on());
         let zone = world.leader().expect("a leader");
-        cut(&mut world, zone);
-        world.run(secs(4) + millis(moment));
-        let new = world.leader().expect("a leader outside");
-        let told = world.cancel(new, &job_id(1)).and_then(|(_, view)| view).map(|view| view.state);
-        assert_eq!(told, Some(JobStatus::Cancelled));
-        // The world checks that all is gone in time.
+        partition_zone(&mut world, zone);
+        world.run(secs(4) + millis(delay_ms));
+        let new_leader = world.leader().expect("a leader outside the zone");
+        let response = world.cancel(new_leader, &job_id(1)).and_then(|(_, view)| view).map(|view| view.state);
+        assert_eq!(response, Some(JobStatus::Cancelled));
+        // The simulated world checks that all tasks stop in time.
         world.run(secs(31));
-        assert_eq!(count(&world, 1), 0, "at {moment} ms");
-        restore(&mut world);
-        ends_well(&mut world);
+        assert_eq!(running_tasks_of(&world, 1), 0, "at {delay_ms} ms");
+        end_partitions(&mut world);
+        check_recovery(&mut world);
     }
 }
 
 #[test]
-fn leaders_that_know_nothing_of_zones_lead_in_between() {
-    let mut world = at_work_with_long_leases(24, on());
+fn a_leader_without_failover_in_between_does_not_disturb_an_evacuation() {
+    let mut world = busy_fleet_with_long_leases(24, failover_on());
     let zone = zone_without_leader(&world);
-    let mut starts = watching(&mut world);
-    cut(&mut world, zone);
-    starts.watch(&mut world, secs(24));
+    let mut log = start_log(&mut world);
+    partition_zone(&mut world, zone);
+    log.run(&mut world, secs(24));
     let leader = world.leader().expect("a leader");
-    let record = world.store.rows[RECORD].0.clone();
-    (0..3).for_each(|node| drop(world.policy_of.insert(node, off())));
-    let third = 3 - zone - leader;
-    world.crash(third);
-    world.start_node(third);
-    starts.watch(&mut world, secs(1));
-    // The others are not away for so long that leases end.
+    let record = world.store.rows[ZONES_KEY].0.clone();
+    (0..3).for_each(|node| drop(world.policy_of.insert(node, failover_off())));
+    let third_node = 3 - zone - leader;
+    world.crash(third_node);
+    world.start_node(third_node);
+    log.run(&mut world, secs(1));
+    // The other nodes are down for too short a time for leases to expire.
     world.crash(leader);
-    starts.watch(&mut world, secs(3));
+    log.run(&mut world, secs(3));
     world.start_node(leader);
-    starts.watch(&mut world, secs(6));
-    assert_eq!(world.leader(), Some(third));
-    restore(&mut world);
-    starts.watch(&mut world, secs(15));
-    assert_eq!(world.store.rows[RECORD].0, record, "the other version writes what it does not know");
-    // One that knows of zones leads again: what it finds is old, and is judged anew.
+    log.run(&mut world, secs(6));
+    assert_eq!(world.leader(), Some(third_node));
+    end_partitions(&mut world);
+    log.run(&mut world, secs(15));
+    assert_eq!(world.store.rows[ZONES_KEY].0, record, "a version without failover changed the record");
+    // A version with failover leads again: the record that it finds is old, so it assesses the zones anew.
     world.policy_of.clear();
     for node in [leader, zone] {
         world.crash(node);
         world.start_node(node);
     }
-    starts.watch(&mut world, secs(1));
-    world.crash(third);
-    starts.watch(&mut world, secs(3));
-    world.start_node(third);
-    starts.watch(&mut world, secs(12));
-    until_state(&mut world, zone, "returning", secs(12));
-    assert_eq!(recorded(&world, zone), Some(("returning".into(), 1)));
-    assert_eq!(starts.most(&[1, 2]), 1, "evacuated twice");
-    ends_well(&mut world);
+    log.run(&mut world, secs(1));
+    world.crash(third_node);
+    log.run(&mut world, secs(3));
+    world.start_node(third_node);
+    log.run(&mut world, secs(12));
+    run_until_zone_state(&mut world, zone, "returning", secs(12));
+    assert_eq!(zone_record(&world, zone), Some(("returning".into(), 1)));
+    assert_eq!(log.max_machines_per_task(&[1, 2]), 1, "a replica was evacuated twice");
+    check_recovery(&mut world);
 }
 
 #[test]
-fn load_spreading_and_failover_work_together() {
-    // So much is kept ready that nothing retires.
+fn rebalancing_and_failover_work_together() {
+    // With this headroom no machine is retired.
     let balance = Some(rushyoke_core::BalanceSettings::default());
-    let policy = Policy { balance, headroom_machines: 1000.0, ..on() };
+    let policy = Policy { balance, headroom_machines: 1000.0, ..failover_on() };
     let mut world = fleet(12, policy);
-    let saving = |id, team: &str| JobSpec {
+    let checkpointing_job = |id, team: &str| JobSpec {
         checkpoint_interval_s: 10.0,
         save_s: 1.0,
         team: team.into(),
-        ..long(id, 50, Priority::Normal)
+        ..long_job(id, 50, Priority::Normal)
     };
-    assert_eq!(world.submit(0, saving(3, "red")), Some(201));
-    assert_eq!(world.submit(0, saving(4, "blue")), Some(201));
+    assert_eq!(world.submit(0, checkpointing_job(3, "red")), Some(201));
+    assert_eq!(world.submit(0, checkpointing_job(4, "blue")), Some(201));
     world.run(secs(20));
     let zone = zone_without_leader(&world);
-    let there = machines_in(&world, ZONES[zone]);
-    cut(&mut world, zone);
+    let zone_machines = machines_in(&world, ZONES[zone]);
+    partition_zone(&mut world, zone);
     world.run(secs(30));
-    assert_eq!((count(&world, 3), count(&world, 4)), (50, 50));
-    restore(&mut world);
-    let mut starts = watching(&mut world);
-    starts.watch(&mut world, secs(90));
-    let home = starts.began.iter().filter(|(.., machine)| there.contains(machine)).count();
-    assert_eq!(home, 0, "work was moved to a zone on probation");
-    // Once it is healthy, moves home are those of load spreading.
-    starts.watch(&mut world, secs(100));
-    let home = starts.began.iter().filter(|(.., machine)| there.contains(machine)).count();
-    assert!(home > 0 && starts.most(&[3, 4]) == 1, "{home} moves home");
-    ends_well(&mut world);
+    assert_eq!((running_tasks_of(&world, 3), running_tasks_of(&world, 4)), (50, 50));
+    end_partitions(&mut world);
+    let mut log = start_log(&mut world);
+    log.run(&mut world, secs(90));
+    let moves_back = log.starts.iter().filter(|(.., machine)| zone_machines.contains(machine)).count();
+    assert_eq!(moves_back, 0, "tasks were moved to a zone on probation");
+    // Once the zone is healthy, rebalancing moves tasks back to it.
+    log.run(&mut world, secs(100));
+    let moves_back = log.starts.iter().filter(|(.., machine)| zone_machines.contains(machine)).count();
+    assert!(moves_back > 0 && log.max_machines_per_task(&[3, 4]) == 1, "{moves_back} moves back to the zone");
+    check_recovery(&mut world);
 }
--- a/crates/core/tests/failover/main.rs
+++ b/crates/core/tests/failover/main.rs
@@ -1,4 +1,5 @@
-//! Stories of zones that are lost and return. The world checks the users' rules at every step.
+//! Scenario tests of zones that are lost and return. The simulated world checks the invariants that users rely on at
+//! every step.
 
 mod evacuation;
 mod leaders;
--- a/crates/core/tests/failover/returns.rs
+++ b/crates/core/tests/failover/returns.rs
@@ -1,4 +1,4 @@
-//! Zones that return: around the lapse of their leases, by and by, and with what was drained.
+//! Zones that return: around the expiry of their leases, with a gradual refill, and with machines that were drained.
 
 use std::time::Duration;
 
@@ -9,111 +9,123 @@
 use crate::support::*;
 
 #[test]
-fn a_zone_returns_just_before_at_and_after_the_lapse_of_its_leases() {
-    // Leases of 12 s: reruns are not yet, being, or placed, and run, as it returns.
-    for cut_ms in [5_000, 11_000, 12_000, 12_600, 13_200, 14_000, 16_000] {
-        let mut world = at_work(12, on());
+fn a_zone_returns_just_before_at_and_after_the_expiry_of_its_leases() {
+    // Leases last 12 s: when the zone returns, reruns are not placed yet, are being placed, or already run.
+    for partition_ms in [5_000, 11_000, 12_000, 12_600, 13_200, 14_000, 16_000] {
+        let mut world = busy_fleet(12, failover_on());
         let zone = zone_without_leader(&world);
-        let all = running(&world);
-        cut(&mut world, zone);
-        world.run(millis(cut_ms));
-        restore(&mut world);
+        let running_before = total_running_tasks(&world);
+        partition_zone(&mut world, zone);
+        world.run(millis(partition_ms));
+        end_partitions(&mut world);
         let before = world.started;
-        let mut starts = watching(&mut world);
-        starts.watch(&mut world, secs(30));
-        assert_eq!(running(&world), all, "cut for {cut_ms} ms");
-        assert!(starts.most(&[1, 2, 3, 4]) <= 1, "cut for {cut_ms} ms: begun twice since the return");
-        // A report that was lost is followed by the next after 5 s.
-        if cut_ms < 6_000 {
-            assert_eq!(world.started, before, "a cut shorter than a lease cost work");
+        let mut log = start_log(&mut world);
+        log.run(&mut world, secs(30));
+        assert_eq!(total_running_tasks(&world), running_before, "partitioned for {partition_ms} ms");
+        assert!(
+            log.max_machines_per_task(&[1, 2, 3, 4]) <= 1,
+            "partitioned for {partition_ms} ms: started twice since the return"
+        );
+        // A worker sends its next report 5 s after one that was lost.
+        if partition_ms < 6_000 {
+            assert_eq!(world.started, before, "a partition shorter than a lease caused restarts");
         }
-        ends_well(&mut world);
+        check_recovery(&mut world);
     }
 }
 
 #[test]
-fn what_runs_elsewhere_stays_there_when_its_zone_is_back() {
-    let mut world = at_work(24, on());
+fn evacuated_tasks_stay_where_they_are_when_their_zone_returns() {
+    let mut world = busy_fleet(24, failover_on());
     let zone = zone_without_leader(&world);
-    cut(&mut world, zone);
+    partition_zone(&mut world, zone);
     world.run(secs(30));
-    let all = running(&world);
-    let mut starts = watching(&mut world);
-    restore(&mut world);
-    starts.watch(&mut world, secs(100));
-    assert_eq!((running(&world), starts.began.len()), (all, 0), "{:?}", starts.began);
-    ends_well(&mut world);
+    let running_before = total_running_tasks(&world);
+    let mut log = start_log(&mut world);
+    end_partitions(&mut world);
+    log.run(&mut world, secs(100));
+    assert_eq!((total_running_tasks(&world), log.starts.len()), (running_before, 0), "{:?}", log.starts);
+    check_recovery(&mut world);
 }
 
-/// Starts in a returned zone in each second, with more work waiting than fits.
-fn refilled(settings: FailoverSettings, cuts: usize) -> Vec<usize> {
-    let mut world = fleet(24, with(settings));
+/// Returns the number of starts in each of 60 seconds after a zone has returned from its last partition, with more
+/// tasks waiting than fit.
+fn starts_per_second_after_return(settings: FailoverSettings, partitions: usize) -> Vec<usize> {
+    let mut world = fleet(24, failover_policy(settings));
     for id in [3, 4] {
         let team = if id == 3 { "red" } else { "blue" }.to_owned();
-        assert_eq!(world.submit(0, JobSpec { team, ..long(id, 190, Priority::Normal) }), Some(201));
+        assert_eq!(world.submit(0, JobSpec { team, ..long_job(id, 190, Priority::Normal) }), Some(201));
     }
     world.run(secs(8));
     let zone = zone_without_leader(&world);
-    for n in 0..cuts {
-        cut(&mut world, zone);
+    for n in 0..partitions {
+        partition_zone(&mut world, zone);
         world.run(secs(16));
-        restore(&mut world);
-        if n + 1 < cuts {
+        end_partitions(&mut world);
+        if n + 1 < partitions {
             world.run(secs(14));
         }
     }
-    let mut seconds = Vec::new();
-    let mut starts = watching(&mut world);
+    let mut starts_per_second = Vec::new();
+    let mut log = start_log(&mut world);
     for _ in 0..60 {
-        let before = starts.began.len();
-        starts.watch(&mut world, secs(1));
-        seconds.push(starts.began.len() - before);
+        let before = log.starts.len();
+        log.run(&mut world, secs(1));
+        starts_per_second.push(log.starts.len() - before);
     }
-    assert_eq!(count(&world, 3) + count(&world, 4), 380, "{seconds:?}");
-    ends_well(&mut world);
-    seconds
+    assert_eq!(running_tasks_of(&world, 3) + running_tasks_of(&world, 4), 380, "{starts_per_second:?}");
+    check_recovery(&mut world);
+    starts_per_second
 }
 
 #[test]
-fn a_returned_zone_is_filled_by_and_by_and_the_slower_the_more_often_it_was_lost() {
-    let until_full = |seconds: &[usize]| seconds.iter().rposition(|n| *n > 0).expect("it is filled");
-    let slow = FailoverSettings { ramp_share: 0.05, ..FailoverSettings::default() };
-    let first = refilled(slow.clone(), 1);
-    let begin = first.iter().position(|n| *n > 0).expect("it is filled");
-    // 128 CPUs: a twentieth each second at first, twice as much with each second.
-    assert!(first[begin] <= 20 && first[begin..begin + 3].iter().sum::<usize>() <= 70, "{first:?}");
-    let third = refilled(slow, 3);
-    assert!(until_full(&third) > until_full(&first), "{first:?}, {third:?}");
+fn a_returned_zone_is_refilled_gradually_and_more_slowly_after_repeated_losses() {
+    let seconds_until_full =
+        |starts_per_second: &[usize]| starts_per_second.iter().rposition(|n| *n > 0).expect("it is refilled");
+    let slow_ramp = FailoverSettings { ramp_share: 0.05, ..FailoverSettings::default() };
+    let after_one_loss = starts_per_second_after_return(slow_ramp.clone(), 1);
+    let first_start = after_one_loss.iter().position(|n| *n > 0).expect("it is refilled");
+    // The zone has 128 CPUs; a twentieth of them is filled in the first second, and the rate doubles every second.
+    assert!(
+        after_one_loss[first_start] <= 20 && after_one_loss[first_start..first_start + 3].iter().sum::<usize>() <= 70,
+        "{after_one_loss:?}"
+    );
+    let after_three_losses = starts_per_second_after_return(slow_ramp, 3);
+    assert!(
+        seconds_until_full(&after_three_losses) > seconds_until_full(&after_one_loss),
+        "{after_one_loss:?}, {after_three_losses:?}"
+    );
 }
 
 #[test]
-fn a_zone_that_is_heard_but_does_not_hear_is_lost_and_its_old_reports_prove_nothing() {
-    for held in [false, true] {
-        let mut world = at_work(24, on());
+fn a_zone_that_receives_nothing_is_lost_despite_its_old_reports() {
+    for reports_held in [false, true] {
+        let mut world = busy_fleet(24, failover_on());
         let zone = zone_without_leader(&world);
-        let there = machines_in(&world, ZONES[zone]);
-        let all = running(&world);
-        // Copies of their reports arrive longer than a lease later.
-        world.copy_reports.extend(there.iter().map(|machine| (machine.clone(), secs(14))));
-        if held {
+        let zone_machines = machines_in(&world, ZONES[zone]);
+        let running_before = total_running_tasks(&world);
+        // Copies of their reports arrive later than a lease lasts.
+        world.copy_reports.extend(zone_machines.iter().map(|machine| (machine.clone(), secs(14))));
+        if reports_held {
             let until = world.now + secs(16);
-            world.hold_reports.extend(there.iter().map(|machine| (machine.clone(), until)));
+            world.hold_reports.extend(zone_machines.iter().map(|machine| (machine.clone(), until)));
         }
-        world.deaf.extend(there.iter().cloned());
-        until_state(&mut world, zone, "lost", secs(10));
+        world.deaf.extend(zone_machines.iter().cloned());
+        run_until_zone_state(&mut world, zone, "lost", secs(10));
         world.run(secs(14));
-        assert_eq!(running(&world), all, "held: {held}");
+        assert_eq!(total_running_tasks(&world), running_before, "reports held: {reports_held}");
         world.deaf.clear();
         world.hold_reports.clear();
         world.run(secs(40));
-        assert_eq!(running(&world), all);
-        ends_well(&mut world);
+        assert_eq!(total_running_tasks(&world), running_before);
+        check_recovery(&mut world);
     }
 }
 
-/// A machine that fails all tasks is quarantined, but the cloud does not take it back.
+/// Returns a fleet, a zone and its machine that is quarantined because it fails all tasks. The cloud is down, so the
+/// machine cannot be released.
 fn with_a_quarantined_machine() -> (World, usize, String) {
-    let mut world = fleet(12, on());
+    let mut world = fleet(12, failover_on());
     let zone = zone_without_leader(&world);
     let faulty = machines_in(&world, ZONES[zone])[0].clone();
     world.workers.get_mut(&faulty).expect("up").fails_all = true;
@@ -123,95 +135,105 @@
         world.run(secs(1));
     }
     world.run(secs(12));
-    assert!(world.failed > 0, "it failed nothing");
+    assert!(world.failed > 0, "the faulty machine failed no task");
     (world, zone, faulty)
 }
 
 #[test]
-fn a_machine_that_was_quarantined_when_it_was_cut_off_is_so_under_the_next_leader() {
+fn a_quarantined_machine_in_a_lost_zone_stays_quarantined_under_the_next_leader() {
     let (mut world, zone, faulty) = with_a_quarantined_machine();
-    cut(&mut world, zone);
-    until_state(&mut world, zone, "lost", secs(8));
-    assert!(world.store.rows[RECORD].0["drained"]["quarantined"].to_string().contains(&faulty), "it is not recorded");
+    partition_zone(&mut world, zone);
+    run_until_zone_state(&mut world, zone, "lost", secs(8));
+    assert!(
+        world.store.rows[ZONES_KEY].0["drained"]["quarantined"].to_string().contains(&faulty),
+        "the quarantine is not recorded"
+    );
     world.run(secs(10));
     let leader = world.leader().expect("a leader");
     world.crash(leader);
     world.run(secs(5));
     world.start_node(leader);
-    let failed = world.failed;
-    restore(&mut world);
+    let failed_before = world.failed;
+    end_partitions(&mut world);
     world.run(secs(12));
-    // More than all other machines take.
-    assert_eq!(world.submit(0, long(30, 112, Priority::Normal)), Some(201));
+    // Enough tasks for the quarantined machine to get some if it were schedulable.
+    assert_eq!(world.submit(0, long_job(30, 112, Priority::Normal)), Some(201));
     world.run(secs(20));
-    assert_eq!(world.failed, failed, "it got work again");
-    ends_well(&mut world);
+    assert_eq!(world.failed, failed_before, "the quarantined machine got tasks again");
+    check_recovery(&mut world);
 }
 
 #[test]
-fn a_machine_that_was_retiring_when_it_was_cut_off_gets_no_work_that_fits_elsewhere() {
-    let mut world = fleet(12, on());
-    // One service on a machine; all others are more than enough.
+fn a_retiring_machine_in_a_lost_zone_gets_no_tasks_that_fit_elsewhere() {
+    let mut world = fleet(12, failover_on());
+    // A service that fits on one machine; the others are more than enough.
     assert_eq!(world.submit(0, service(1, 6)), Some(201));
     world.run(secs(8));
     let zone = zone_without_leader(&world);
-    cut(&mut world, zone);
-    until_state(&mut world, zone, "lost", secs(8));
-    let retiring = world.store.rows[RECORD].0["drained"]["retiring"].as_array().map_or(0, Vec::len);
-    assert!(retiring > 0, "none is recorded as retiring");
-    restore(&mut world);
-    until_state(&mut world, zone, "returning", secs(10));
-    let mut starts = watching(&mut world);
+    partition_zone(&mut world, zone);
+    run_until_zone_state(&mut world, zone, "lost", secs(8));
+    let retiring = world.store.rows[ZONES_KEY].0["drained"]["retiring"].as_array().map_or(0, Vec::len);
+    assert!(retiring > 0, "no machine is recorded as retiring");
+    end_partitions(&mut world);
+    run_until_zone_state(&mut world, zone, "returning", secs(10));
+    let mut log = start_log(&mut world);
     let leader = world.leader().expect("a leader");
-    assert_eq!(world.submit(leader, long(3, 16, Priority::Normal)), Some(201));
-    starts.watch(&mut world, secs(8));
-    let there = machines_in(&world, ZONES[zone]);
-    let on_them = starts.began.iter().filter(|(.., machine)| there.contains(machine)).count();
-    assert!(count(&world, 3) == 16 && on_them <= 16 - 16 * 2 / 3, "{on_them} tasks went to machines that retire");
-    ends_well(&mut world);
+    assert_eq!(world.submit(leader, long_job(3, 16, Priority::Normal)), Some(201));
+    log.run(&mut world, secs(8));
+    let zone_machines = machines_in(&world, ZONES[zone]);
+    let starts_in_zone = log.starts.iter().filter(|(.., machine)| zone_machines.contains(machine)).count();
+    assert!(
+        running_tasks_of(&world, 3) == 16 && starts_in_zone <= 16 - 16 * 2 / 3,
+        "{starts_in_zone} tasks were placed on retiring machines"
+    );
+    check_recovery(&mut world);
 }
 
 #[test]
-fn careful_work_keeps_off_a_zone_on_probation_while_there_is_room_elsewhere() {
-    let mut world = fleet(12, on());
+fn services_avoid_a_zone_on_probation_while_they_fit_elsewhere() {
+    let mut world = fleet(12, failover_on());
     let zone = zone_without_leader(&world);
-    cut(&mut world, zone);
+    partition_zone(&mut world, zone);
     world.run(secs(20));
-    restore(&mut world);
+    end_partitions(&mut world);
     world.run(secs(20));
-    assert_eq!(recorded_state(&world, zone), "returning");
-    let there = machines_in(&world, ZONES[zone]);
+    assert_eq!(zone_state(&world, zone), "returning");
+    let zone_machines = machines_in(&world, ZONES[zone]);
     let leader = world.leader().expect("a leader");
     assert_eq!(world.submit(leader, service(1, 40)), Some(201));
     world.run(secs(4));
-    let inside = |world: &World, id| world.where_runs(&job_id(id)).iter().filter(|(_, m)| there.contains(m)).count();
-    assert_eq!((count(&world, 1), inside(&world, 1)), (40, 0));
-    // Nothing but that zone has room for all of the next.
+    let tasks_in_zone =
+        |world: &World, id| world.where_runs(&job_id(id)).iter().filter(|(_, m)| zone_machines.contains(m)).count();
+    assert_eq!((running_tasks_of(&world, 1), tasks_in_zone(&world, 1)), (40, 0));
+    // The next service fits only with the resources of that zone.
     assert_eq!(world.submit(leader, JobSpec { team: "blue".into(), ..service(2, 100) }), Some(201));
     world.run(secs(6));
-    assert_eq!(count(&world, 2), 100);
-    ends_well(&mut world);
+    assert_eq!(running_tasks_of(&world, 2), 100);
+    check_recovery(&mut world);
 }
 
 #[test]
-fn operators_hold_a_zone_out_and_let_one_in_at_once() {
-    let held_out = FailoverSettings { excluded_zones: ["b".to_owned()].into(), ..FailoverSettings::default() };
-    let mut world = fleet(12, with(held_out));
-    let there = machines_in(&world, "b");
-    assert_eq!(world.submit(0, long(3, 128, Priority::Normal)), Some(201));
+fn operators_exclude_a_zone_and_admit_one_at_once() {
+    let excluded = FailoverSettings { excluded_zones: ["b".to_owned()].into(), ..FailoverSettings::default() };
+    let mut world = fleet(12, failover_policy(excluded));
+    let zone_machines = machines_in(&world, "b");
+    assert_eq!(world.submit(0, long_job(3, 128, Priority::Normal)), Some(201));
     world.run(secs(8));
-    assert_eq!(count(&world, 3), 128);
-    assert!(world.where_runs(&job_id(3)).iter().all(|(_, machine)| !there.contains(machine)), "held out in vain");
-    ends_well(&mut world);
+    assert_eq!(running_tasks_of(&world, 3), 128);
+    assert!(
+        world.where_runs(&job_id(3)).iter().all(|(_, machine)| !zone_machines.contains(machine)),
+        "tasks were placed in the excluded zone"
+    );
+    check_recovery(&mut world);
 
     let zones = ZONES.map(str::to_owned);
     let admitted = FailoverSettings { admitted_zones: zones.into(), ..FailoverSettings::default() };
-    let mut world = at_work(12, with(admitted));
+    let mut world = busy_fleet(12, failover_policy(admitted));
     let zone = zone_without_leader(&world);
-    cut(&mut world, zone);
-    until_state(&mut world, zone, "lost", secs(8));
-    restore(&mut world);
-    let took = until_state(&mut world, zone, "healthy", secs(8));
-    assert!(took < Duration::from_secs(8));
-    ends_well(&mut world);
+    partition_zone(&mut world, zone);
+    run_until_zone_state(&mut world, zone, "lost", secs(8));
+    end_partitions(&mut world);
+    let elapsed = run_until_zone_state(&mut world, zone, "healthy", secs(8));
+    assert!(elapsed < Duration::from_secs(8));
+    check_recovery(&mut world);
 }
--- a/crates/core/tests/failover/support.rs
+++ b/crates/core/tests/failover/support.rs
@@ -1,4 +1,4 @@
-//! What stories of zones share: a fleet at work in three zones, cuts, and who began what when.
+//! Shared by the failover scenarios: fleets in three zones, partitions, and a log of task starts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,24 +8,29 @@
 use rushyoke_wire::job::{JobSpec, JobStatus, Kind, Priority};
 
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
-/// The key under which the verdicts stand in the state service.
-pub const RECORD: &str = "failover/zones";
+/// Key of the record of zone states in the state service.
+pub const ZONES_KEY: &str = "failover/zones";
 
-pub fn with(settings: FailoverSettings) -> Policy {
-    // Nothing is returned for want of work, nor spot machines rented ahead of need.
-    let quiet = Policy { headroom_machines: 0.0, headroom_share: 0.0, idle_timeout: secs(3600), ..Policy::default() };
-    Policy { failover: Some(settings), service_reserve: 0.0, ..quiet }
+/// Returns a policy with these failover settings.
+pub fn failover_policy(settings: FailoverSettings) -> Policy {
+    // No machine is released because it is idle, and no spot machine is rented ahead of demand.
+    let steady_fleet =
+        Policy { headroom_machines: 0.0, headroom_share: 0.0, idle_timeout: secs(3600), ..Policy::default() };
+    Policy { failover: Some(settings), service_reserve: 0.0, ..steady_fleet }
 }
 
-pub fn on() -> Policy {
-    with(FailoverSettings::default())
+/// Returns a policy with failover enabled, with default settings.
+pub fn failover_on() -> Policy {
+    failover_policy(FailoverSettings::default())
 }
 
-pub fn off() -> Policy {
-    Policy { failover: None, ..on() }
+/// Returns the same policy with failover disabled.
+pub fn failover_off() -> Policy {
+    Policy { failover: None, ..failover_on() }
 }
 
-pub fn deployment() -> Facts {
+/// Returns a deployment with two teams and one node in each zone.
+pub fn deployment_facts() -> Facts {
     let team = || Team { cpus: 400.0, cpus_max: 800.0, gpus: 0.0, gpus_max: 0.0 };
     let controller_zones = (0..3).map(|node| (format!("node-{node}"), ZONES[node].to_owned())).collect();
     Facts {
@@ -36,17 +41,19 @@
     }
 }
 
-/// An array whose tasks run for long and may not use spot machines.
-pub fn long(id: u32, tasks: u32, priority: Priority) -> JobSpec {
+/// Returns an array of long tasks that may not use spot machines.
+pub fn long_job(id: u32, tasks: u32, priority: Priority) -> JobSpec {
     JobSpec { priority, spot: false, estimate_s: 300.0, ..job(id, tasks) }
 }
 
-/// Machines that are up in three zones, a third in each, whose tasks run for long; the cloud has no more.
+/// Returns a world with machines in three zones, a third in each, on which tasks run for 300 s. The cloud has no more
+/// machines.
 pub fn fleet(machines: usize, policy: Policy) -> World {
-    deployed(deployment(), machines, policy)
+    fleet_of_deployment(deployment_facts(), machines, policy)
 }
 
-fn deployed(facts: Facts, machines: usize, policy: Policy) -> World {
+/// Like [`fleet`], with the given facts.
+fn fleet_of_deployment(facts: Facts, machines: usize, policy: Policy) -> World {
     let mut world = World::deployed(facts, machines, policy, &ZONES);
     world.task_s = 300.0;
     world.workers.values_mut().for_each(|worker| worker.run_s = 300.0);
@@ -59,153 +66,168 @@
     world
 }
 
-/// The same with work on two thirds of it: services 1 and 2, array 3 of high priority, array 4 of none.
-pub fn at_work(machines: usize, policy: Policy) -> World {
-    busy(fleet(machines, policy))
+/// Like [`fleet`], with two thirds of the CPUs in use: by services 1 and 2, array 3 of high priority, and array 4 of
+/// best-effort priority.
+pub fn busy_fleet(machines: usize, policy: Policy) -> World {
+    add_load(fleet(machines, policy))
 }
 
-/// The same with leases that outlive the loss of two controllers, each of which a worker tries for 5 s.
-pub fn at_work_with_long_leases(machines: usize, policy: Policy) -> World {
-    busy(deployed(Facts { worker_lease: secs(18), cancel_limit: secs(40), ..deployment() }, machines, policy))
+/// Like [`busy_fleet`], with leases that outlast the loss of two controllers: a worker tries each of them for 5 s.
+pub fn busy_fleet_with_long_leases(machines: usize, policy: Policy) -> World {
+    add_load(fleet_of_deployment(
+        Facts { worker_lease: secs(18), cancel_limit: secs(40), ..deployment_facts() },
+        machines,
+        policy,
+    ))
 }
 
-fn busy(mut world: World) -> World {
+/// Submits the jobs of [`busy_fleet`], and waits until they run.
+fn add_load(mut world: World) -> World {
     let machines = world.workers.len();
     let cpus = machines as u32 * 16;
     assert_eq!(world.submit(0, service(1, cpus / 12)), Some(201));
     assert_eq!(world.submit(1, JobSpec { spread: true, ..service(2, cpus / 12) }), Some(201));
     world.run(secs(2));
-    assert_eq!(world.submit(2, long(3, cpus / 4, Priority::High)), Some(201));
-    assert_eq!(world.submit(0, JobSpec { team: "blue".into(), ..long(4, cpus / 4, Priority::BestEffort) }), Some(201));
+    assert_eq!(world.submit(2, long_job(3, cpus / 4, Priority::High)), Some(201));
+    assert_eq!(
+        world.submit(0, JobSpec { team: "blue".into(), ..long_job(4, cpus / 4, Priority::BestEffort) }),
+        Some(201)
+    );
     world.run(secs(6));
-    assert_eq!(running(&world), cpus as usize / 12 * 2 + cpus as usize / 4 * 2);
+    assert_eq!(total_running_tasks(&world), cpus as usize / 12 * 2 + cpus as usize / 4 * 2);
     world
 }
 
-pub fn count(world: &World, id: u32) -> usize {
+/// Returns the number of running tasks of a job.
+pub fn running_tasks_of(world: &World, id: u32) -> usize {
     world.where_runs(&job_id(id)).len()
 }
 
-/// Tasks of jobs 1 to 4 that run.
-pub fn running(world: &World) -> usize {
-    (1..5).map(|id| count(world, id)).sum()
+/// Returns the number of running tasks of jobs 1 to 4.
+pub fn total_running_tasks(world: &World) -> usize {
+    (1..5).map(|id| running_tasks_of(world, id)).sum()
 }
 
+/// Returns the machines that are up in a zone.
 pub fn machines_in(world: &World, zone: &str) -> Vec<String> {
     world.workers.values().filter(|worker| worker.zone == zone).map(|worker| worker.name.clone()).collect()
 }
 
-/// Cuts a zone off from everything, its controller with it.
-pub fn cut(world: &mut World, zone: usize) {
+/// Partitions a zone, including its controller, from everything else.
+pub fn partition_zone(world: &mut World, zone: usize) {
     world.cut.extend(machines_in(world, ZONES[zone]));
     world.no_store.insert(zone);
     world.no_peers.insert(zone);
     world.no_workers.insert(zone);
 }
 
-/// Ends all cuts.
-pub fn restore(world: &mut World) {
+/// Ends all partitions.
+pub fn end_partitions(world: &mut World) {
     world.cut.clear();
     world.no_store.clear();
     world.no_peers.clear();
     world.no_workers.clear();
 }
 
-/// A zone in which no controller leads.
+/// Returns a zone whose controller is not the leader.
 pub fn zone_without_leader(world: &World) -> usize {
     (world.leader().expect("a leader") + 1) % 3
 }
 
-/// What the record says of a zone: its state and its episode.
-pub fn recorded(world: &World, zone: usize) -> Option<(String, u64)> {
-    let zones = world.store.rows.get(RECORD)?.0["zones"].as_array().expect("a list");
+/// Returns the recorded state and episode of a zone, if it has a record.
+pub fn zone_record(world: &World, zone: usize) -> Option<(String, u64)> {
+    let zones = world.store.rows.get(ZONES_KEY)?.0["zones"].as_array().expect("a list");
     let entry = zones.iter().find(|entry| entry["zone"] == ZONES[zone])?;
     Some((entry["state"].as_str().expect("a state").to_owned(), entry["episode"].as_u64().expect("a number")))
 }
 
-pub fn recorded_state(world: &World, zone: usize) -> String {
-    recorded(world, zone).map_or("healthy".into(), |(state, _)| state)
+/// Returns the recorded state of a zone; a zone without a record is healthy.
+pub fn zone_state(world: &World, zone: usize) -> String {
+    zone_record(world, zone).map_or("healthy".into(), |(state, _)| state)
 }
 
-/// Lets time pass until a zone is recorded in a state; how long it took.
-pub fn until_state(world: &mut World, zone: usize, state: &str, limit: Duration) -> Duration {
-    let from = world.now;
-    while recorded_state(world, zone) != state {
-        assert!(world.now < from + limit, "zone {zone} is {}, not {state}", recorded_state(world, zone));
+/// Runs until a zone is recorded in a state, and returns how long that took; panics at the limit.
+pub fn run_until_zone_state(world: &mut World, zone: usize, state: &str, limit: Duration) -> Duration {
+    let started_at = world.now;
+    while zone_state(world, zone) != state {
+        assert!(world.now < started_at + limit, "zone {zone} is {}, not {state}", zone_state(world, zone));
         world.run(millis(100));
     }
-    world.now - from
+    world.now - started_at
 }
 
-/// When each task began, each time.
+/// Records every start of a task.
 #[derive(Default)]
-pub struct Starts {
-    runs: BTreeMap<String, String>,
-    pub began: Vec<(Duration, String, String)>,
+pub struct StartLog {
+    /// Machine by running task.
+    running: BTreeMap<String, String>,
+    /// Time, task and machine of each start.
+    pub starts: Vec<(Duration, String, String)>,
 }
 
-impl Starts {
-    pub fn watch(&mut self, world: &mut World, time: Duration) {
+impl StartLog {
+    /// Runs the world, and records the starts of tasks of all jobs.
+    pub fn run(&mut self, world: &mut World, time: Duration) {
         let end = world.now + time;
         while world.now < end {
             world.run(millis(100).min(end - world.now));
             let jobs: Vec<String> = world.specs.keys().cloned().collect();
-            let mut runs = BTreeMap::new();
+            let mut running = BTreeMap::new();
             for (task, machine) in jobs.iter().flat_map(|job| world.where_runs(job)) {
-                if self.runs.get(&task) != Some(&machine) {
-                    self.began.push((world.now, task.clone(), machine.clone()));
+                if self.running.get(&task) != Some(&machine) {
+                    self.starts.push((world.now, task.clone(), machine.clone()));
                 }
-                runs.insert(task, machine);
+                running.insert(task, machine);
             }
-            self.runs = runs;
+            self.running = running;
         }
     }
 
-    /// How often tasks of a job began.
-    pub fn of(&self, id: u32) -> usize {
+    /// Returns the number of starts of a job's tasks.
+    pub fn count_of(&self, id: u32) -> usize {
         let job = format!("{}/", job_id(id));
-        self.began.iter().filter(|(_, task, _)| task.starts_with(&job)).count()
+        self.starts.iter().filter(|(_, task, _)| task.starts_with(&job)).count()
     }
 
-    /// The first and the last time at which a task of a job began.
-    pub fn span(&self, id: u32) -> Option<(Duration, Duration)> {
+    /// Returns the times of the first and the last start of a job's tasks.
+    pub fn time_span_of(&self, id: u32) -> Option<(Duration, Duration)> {
         let job = format!("{}/", job_id(id));
-        let times = self.began.iter().filter(|(_, task, _)| task.starts_with(&job)).map(|(at, ..)| *at);
+        let times = self.starts.iter().filter(|(_, task, _)| task.starts_with(&job)).map(|(at, ..)| *at);
         Some((times.clone().min()?, times.max()?))
     }
 
-    /// The most machines on which any one task of jobs began.
-    pub fn most(&self, ids: &[u32]) -> usize {
+    /// Returns the highest number of machines on which any one task of these jobs was started.
+    pub fn max_machines_per_task(&self, ids: &[u32]) -> usize {
         let mut machines: BTreeMap<&str, BTreeSet<&str>> = BTreeMap::new();
-        let of = |task: &str| ids.iter().any(|id| task.starts_with(&format!("{}/", job_id(*id))));
-        for (_, task, machine) in self.began.iter().filter(|(_, task, _)| of(task)) {
+        let is_included = |task: &str| ids.iter().any(|id| task.starts_with(&format!("{}/", job_id(*id))));
+        for (_, task, machine) in self.starts.iter().filter(|(_, task, _)| is_included(task)) {
             machines.entry(task).or_default().insert(machine);
         }
         machines.values().map(BTreeSet::len).max().unwrap_or(0)
     }
 }
 
-/// Watches from now on: what runs already is not counted as begun.
-pub fn watching(world: &mut World) -> Starts {
-    let mut starts = Starts::default();
-    starts.watch(world, millis(100));
-    starts.began.clear();
-    starts
+/// Returns a log of the starts from now on, without the tasks that run already.
+pub fn start_log(world: &mut World) -> StartLog {
+    let mut log = StartLog::default();
+    log.run(world, millis(100));
+    log.starts.clear();
+    log
 }
 
-/// Troubles are over: all that was accepted and is wanted runs or ends, all else is gone.
-pub fn ends_well(world: &mut World) {
+/// Ends all faults, and asserts that all tasks of unfinished jobs run or have finished, and that no others run.
+pub fn check_recovery(world: &mut World) {
     world.calm();
     world.run(secs(30));
     world.check_served();
     for id in world.rules.accepted() {
         let state = world.state(0, &id);
-        let there = world.where_runs(&id).len() as u32;
+        let running_tasks = world.where_runs(&id).len() as u32;
         let spec = &world.specs[&id];
         match state {
-            Some(JobStatus::Cancelled | JobStatus::Done) => assert_eq!(there, 0, "{id} is {state:?}"),
-            _ if spec.kind == Kind::Service => assert_eq!(there, spec.tasks, "{id} is {state:?}"),
-            _ => assert_eq!(there + world.rules.finished(&id), spec.tasks, "{id} is {state:?}"),
+            Some(JobStatus::Cancelled | JobStatus::Done) => assert_eq!(running_tasks, 0, "{id} is {state:?}"),
+            _ if spec.kind == Kind::Service => assert_eq!(running_tasks, spec.tasks, "{id} is {state:?}"),
+            _ => assert_eq!(running_tasks + world.rules.finished(&id), spec.tasks, "{id} is {state:?}"),
         }
     }
 }
