--- a/crates/core/tests/balance/failures.rs
+++ b/crates/core/tests/balance/failures.rs
@@ -1,4 +1,4 @@
-//! Failures in the midst of moves.
+//! Failures while tasks are being moved.
 
 use std::collections::BTreeSet;
 
@@ -9,77 +9,84 @@
 use crate::support::*;
 
 #[test]
-fn the_leader_ends_in_each_state_of_a_move_and_versions_take_turns() {
-    // The next leader has load spreading switched off, as the version in production, which does not
-    // know of it; the one after has it on again.
-    let (mut left, mut finished) = (0, 0);
-    for (moment, old_between) in
+fn the_leader_crashes_in_each_state_of_a_move_with_alternating_versions() {
+    // In some cases the next leader has rebalancing disabled, like the version in production, which does not
+    // support it; the leader after that has it enabled again.
+    let (mut stopped, mut reached_destination) = (0, 0);
+    for (delay_ms, old_version_between) in
         [(0, false), (60, true), (300, false), (900, true), (1500, false), (2400, true), (3500, false)]
     {
-        let mut simulation = skewed(4, 8, spreading());
-        let mut paths = Paths::default();
-        paths.run(&mut simulation, &[1, 2, 3], millis(200));
-        until_moves_open(&mut simulation, 3);
-        paths.run(&mut simulation, &[1, 2, 3], millis(moment));
+        let mut simulation = skewed_world(4, 8, rebalancing_policy());
+        let mut history = TaskHistory::default();
+        history.run(&mut simulation, &[1, 2, 3], millis(200));
+        run_until_moves_open(&mut simulation, 3);
+        history.run(&mut simulation, &[1, 2, 3], millis(delay_ms));
         let leader = simulation.leader().expect("a leader");
         let open = open_moves(&simulation);
-        if old_between {
+        if old_version_between {
             for node in 0..3 {
-                simulation.policy_overrides.insert(node, Policy { balance: None, ..spreading() });
+                simulation.policy_overrides.insert(node, Policy { balance: None, ..rebalancing_policy() });
             }
-            // The others run the old version from before.
+            // The other nodes already run the old version.
             for other in [(leader + 1) % 3, (leader + 2) % 3] {
                 simulation.crash_node(other);
                 simulation.start_node(other);
             }
-            paths.run(&mut simulation, &[1, 2, 3], millis(300));
+            history.run(&mut simulation, &[1, 2, 3], millis(300));
         }
         simulation.crash_node(leader);
-        paths.run(&mut simulation, &[1, 2, 3], secs(8));
+        history.run(&mut simulation, &[1, 2, 3], secs(8));
         let next = simulation.leader().expect("another leader");
         assert_ne!(next, leader);
-        if old_between {
+        if old_version_between {
             let stale = open_moves(&simulation);
-            paths.run(&mut simulation, &[1, 2, 3], secs(10));
-            assert_eq!(open_moves(&simulation), stale, "the old version writes what it does not know");
-            // All that start from now on know of moves again; the old version's leader ends last.
+            history.run(&mut simulation, &[1, 2, 3], secs(10));
+            assert_eq!(open_moves(&simulation), stale, "the old version changed the records of moves");
+            // All nodes that start from now on support moves again; the leader with the old version crashes last.
             simulation.policy_overrides.clear();
             simulation.start_node(leader);
-            let third = 3 - next - leader;
-            simulation.crash_node(third);
-            simulation.start_node(third);
-            paths.run(&mut simulation, &[1, 2, 3], secs(1));
+            let third_node = 3 - next - leader;
+            simulation.crash_node(third_node);
+            simulation.start_node(third_node);
+            history.run(&mut simulation, &[1, 2, 3], secs(1));
             simulation.crash_node(next);
-            paths.run(&mut simulation, &[1, 2, 3], secs(8));
+            history.run(&mut simulation, &[1, 2, 3], secs(8));
             assert!(simulation.leader().is_some(), "no leader");
             simulation.start_node(next);
         } else {
             simulation.start_node(leader);
-            let runs: BTreeSet<(String, String)> =
+            let placements: BTreeSet<(String, String)> =
                 [2, 3].iter().flat_map(|id| simulation.running_tasks(&job_id(*id))).collect();
-            for (job, task, from, to) in open {
-                let is_on = |machine: String| runs.contains(&(format!("{job}/{task}"), machine));
-                left += usize::from(!is_on(from));
-                finished += usize::from(is_on(to));
+            for (job, task, source, destination) in open {
+                let runs_on = |machine: String| placements.contains(&(format!("{job}/{task}"), machine));
+                stopped += usize::from(!runs_on(source));
+                reached_destination += usize::from(runs_on(destination));
             }
         }
-        paths.run(&mut simulation, &[1, 2, 3], secs(60));
-        assert!(paths.moves().1 <= 1, "at {moment} ms: a task was moved twice");
-        assert!(jain(&simulation, &[1, 2, 3]) > 0.85, "at {moment} ms: {:?}", loads(&simulation, &[1, 2, 3]));
-        ends_well(&mut simulation, &mut paths);
+        history.run(&mut simulation, &[1, 2, 3], secs(60));
+        assert!(history.move_counts().1 <= 1, "at {delay_ms} ms: a task was moved twice");
+        assert!(
+            fairness_index(&simulation, &[1, 2, 3]) > 0.85,
+            "at {delay_ms} ms: {:?}",
+            tasks_per_machine(&simulation, &[1, 2, 3])
+        );
+        check_recovery(&mut simulation, &mut history);
     }
-    assert!(left > 3 && finished == left, "{left} tasks were stopped, {finished} of them moved");
+    assert!(
+        stopped > 3 && reached_destination == stopped,
+        "{stopped} tasks were stopped, {reached_destination} of them reached their destination"
+    );
 }
 
 #[test]
-fn destinations_die_get_notice_or_fall_silent_in_each_state_of_a_move() {
-    for moment in [0, 200, 500, 900, 1500] {
-        for trouble in ["dies", "notice", "hangs", "deaf", "is cut off"] {
-            let (mut simulation, mut paths, _, to) = in_mid_move(spreading());
-            paths.run(&mut simulation, &[1, 2, 3], millis(moment));
+fn destinations_fail_or_become_unreachable_in_each_state_of_a_move() {
+    for delay_ms in [0, 200, 500, 900, 1500] {
+        for fault in ["dies", "notice", "hangs", "deaf", "is partitioned"] {
+            let (mut simulation, mut history, _, destinations) = world_with_open_moves(rebalancing_policy());
+            history.run(&mut simulation, &[1, 2, 3], millis(delay_ms));
             let now = simulation.now;
-            for machine in &to {
-                match trouble {
+            for machine in &destinations {
+                match fault {
                     "dies" => drop(simulation.workers.remove(machine)),
                     "notice" => simulation.workers.get_mut(machine).expect("up").notice_s = Some(20.0),
                     "hangs" => drop(simulation.frozen_until.insert(machine.clone(), now + secs(9))),
@@ -87,128 +94,145 @@
                     _ => drop(simulation.partitioned_machines.insert(machine.clone())),
                 }
             }
-            paths.run(&mut simulation, &[1, 2, 3], secs(30));
+            history.run(&mut simulation, &[1, 2, 3], secs(30));
             simulation.workers.values_mut().for_each(|worker| worker.notice_s = None);
-            ends_well(&mut simulation, &mut paths);
-            let even = jain(&simulation, &[1, 2, 3]);
-            assert!(even > 0.8, "{trouble} at {moment} ms: {even}, {:?}", loads(&simulation, &[1, 2, 3]));
+            check_recovery(&mut simulation, &mut history);
+            let fairness = fairness_index(&simulation, &[1, 2, 3]);
+            assert!(
+                fairness > 0.8,
+                "{fault} at {delay_ms} ms: {fairness}, {:?}",
+                tasks_per_machine(&simulation, &[1, 2, 3])
+            );
         }
     }
 }
 
 #[test]
-fn sources_are_cut_off_while_they_save_and_late_stops_run_when_they_are_back() {
-    for moment in [0, 200, 500, 900] {
-        let (mut simulation, mut paths, from, _) = in_mid_move(spreading());
-        // Direct orders are held back: they arrive when the machines are back.
-        let back = simulation.now + millis(moment) + secs(18);
-        simulation.delayed_orders_until.extend(from.iter().map(|machine| (machine.clone(), back)));
-        paths.run(&mut simulation, &[1, 2, 3], millis(moment));
-        simulation.partitioned_machines.extend(from.iter().cloned());
-        paths.run(&mut simulation, &[1, 2, 3], secs(18));
+fn sources_are_partitioned_while_saving_and_receive_stops_late() {
+    for delay_ms in [0, 200, 500, 900] {
+        let (mut simulation, mut history, sources, _) = world_with_open_moves(rebalancing_policy());
+        // Direct calls are delayed and arrive when the machines are reachable again.
+        let reachable_at = simulation.now + millis(delay_ms) + secs(18);
+        simulation.delayed_orders_until.extend(sources.iter().map(|machine| (machine.clone(), reachable_at)));
+        history.run(&mut simulation, &[1, 2, 3], millis(delay_ms));
+        simulation.partitioned_machines.extend(sources.iter().cloned());
+        history.run(&mut simulation, &[1, 2, 3], secs(18));
         simulation.partitioned_machines.clear();
         simulation.delayed_orders_until.clear();
-        paths.run(&mut simulation, &[1, 2, 3], secs(20));
-        ends_well(&mut simulation, &mut paths);
+        history.run(&mut simulation, &[1, 2, 3], secs(20));
+        check_recovery(&mut simulation, &mut history);
     }
 }
 
 #[test]
-fn a_zone_with_a_part_of_the_open_moves_is_lost() {
+fn a_zone_is_lost_with_some_of_the_open_moves() {
     for zone in ZONES {
-        let mut simulation = skewed(12, 24, spreading());
-        let mut paths = Paths::default();
-        paths.run(&mut simulation, &[1, 2, 3], millis(200));
-        let open = until_moves_open(&mut simulation, 4);
-        let lost: Vec<String> =
+        let mut simulation = skewed_world(12, 24, rebalancing_policy());
+        let mut history = TaskHistory::default();
+        history.run(&mut simulation, &[1, 2, 3], millis(200));
+        let open = run_until_moves_open(&mut simulation, 4);
+        let lost_machines: Vec<String> =
             simulation.workers.values().filter(|w| w.zone == zone).map(|w| w.name.clone()).collect();
-        let touched =
-            open_moves(&simulation).iter().filter(|(_, _, from, to)| lost.contains(from) || lost.contains(to)).count();
-        assert!(touched * 10 >= open, "{touched} of {open} moves are touched");
-        simulation.partitioned_machines.extend(lost);
-        // Once the machines are seen to be silent no move begins until it is known what they are.
-        paths.run(&mut simulation, &[1, 2, 3], secs(7));
-        let known: BTreeSet<_> = open_moves(&simulation).into_iter().collect();
-        paths.run(&mut simulation, &[1, 2, 3], secs(4));
-        let new = open_moves(&simulation).into_iter().filter(|open| !known.contains(open)).count();
-        assert_eq!(new, 0, "moves begin while a third of the machines is silent");
-        paths.run(&mut simulation, &[1, 2, 3], secs(29));
+        let affected = open_moves(&simulation)
+            .iter()
+            .filter(|(_, _, source, destination)| lost_machines.contains(source) || lost_machines.contains(destination))
+            .count();
+        assert!(affected * 10 >= open, "only {affected} of {open} moves are affected");
+        simulation.partitioned_machines.extend(lost_machines);
+        // Once the machines are found unresponsive, no move starts until their state is known.
+        history.run(&mut simulation, &[1, 2, 3], secs(7));
+        let open_before: BTreeSet<_> = open_moves(&simulation).into_iter().collect();
+        history.run(&mut simulation, &[1, 2, 3], secs(4));
+        let started_since = open_moves(&simulation).into_iter().filter(|open| !open_before.contains(open)).count();
+        assert_eq!(started_since, 0, "moves were started while a third of the machines was unresponsive");
+        history.run(&mut simulation, &[1, 2, 3], secs(29));
         simulation.partitioned_machines.clear();
-        paths.run(&mut simulation, &[1, 2, 3], secs(30));
-        ends_well(&mut simulation, &mut paths);
+        history.run(&mut simulation, &[1, 2, 3], secs(30));
+        check_recovery(&mut simulation, &mut history);
     }
 }
 
 #[test]
 fn jobs_are_cancelled_in_each_state_of_their_moves() {
-    for moment in [0, 100, 200, 350, 500, 700, 900, 1300] {
-        let (mut simulation, mut paths, _, _) = in_mid_move(spreading());
-        paths.run(&mut simulation, &[1, 2, 3], millis(moment));
+    for delay_ms in [0, 100, 200, 350, 500, 700, 900, 1300] {
+        let (mut simulation, mut history, _, _) = world_with_open_moves(rebalancing_policy());
+        history.run(&mut simulation, &[1, 2, 3], millis(delay_ms));
         for id in [2, 3] {
-            let told = simulation.cancel(id as usize % 3, &job_id(id)).and_then(|(_, view)| view);
-            assert_eq!(told.map(|view| view.state), Some(JobStatus::Cancelled));
+            let response = simulation.cancel(id as usize % 3, &job_id(id)).and_then(|(_, view)| view);
+            assert_eq!(response.map(|view| view.state), Some(JobStatus::Cancelled));
         }
         simulation.run(secs(31));
         assert!(simulation.running_tasks(&job_id(2)).is_empty() && simulation.running_tasks(&job_id(3)).is_empty());
-        assert!(open_moves(&simulation).is_empty(), "at {moment} ms: moves of cancelled jobs stay open");
-        ends_well(&mut simulation, &mut paths);
-        // No room stays booked: what is there can be filled.
+        assert!(open_moves(&simulation).is_empty(), "at {delay_ms} ms: moves of cancelled jobs stay open");
+        check_recovery(&mut simulation, &mut history);
+        // No resources stay reserved: a job can fill the whole fleet.
         let tasks = 12 * 16 - 4;
-        assert_eq!(simulation.submit(0, JobSpec { team: "blue".into(), ..saving(4, tasks) }), Some(201));
+        assert_eq!(simulation.submit(0, JobSpec { team: "blue".into(), ..checkpointing_job(4, tasks) }), Some(201));
         simulation.run(secs(40));
-        assert_eq!(simulation.running_tasks(&job_id(4)).len() as u32, tasks, "at {moment} ms: room stays booked");
+        assert_eq!(
+            simulation.running_tasks(&job_id(4)).len() as u32,
+            tasks,
+            "at {delay_ms} ms: resources stay reserved"
+        );
     }
 }
 
 #[test]
-fn the_state_service_is_silent_or_refuses_the_leader_in_mid_move() {
-    for moment in [0, 200, 600] {
-        for (alone, down_s) in [(false, 5), (false, 35), (true, 5), (true, 20)] {
-            let (mut simulation, mut paths, _, _) = in_mid_move(spreading());
-            paths.run(&mut simulation, &[1, 2, 3], millis(moment));
+fn the_state_service_is_down_or_unreachable_for_the_leader_during_moves() {
+    for delay_ms in [0, 200, 600] {
+        for (leader_only, outage_s) in [(false, 5), (false, 35), (true, 5), (true, 20)] {
+            let (mut simulation, mut history, _, _) = world_with_open_moves(rebalancing_policy());
+            history.run(&mut simulation, &[1, 2, 3], millis(delay_ms));
             let leader = simulation.leader().expect("a leader");
-            if alone {
+            if leader_only {
                 simulation.partitioned_from_store.insert(leader);
             } else {
                 simulation.store.outage = true;
             }
-            paths.run(&mut simulation, &[1, 2, 3], secs(down_s));
+            history.run(&mut simulation, &[1, 2, 3], secs(outage_s));
             simulation.clear_faults();
-            paths.run(&mut simulation, &[1, 2, 3], secs(50));
-            ends_well(&mut simulation, &mut paths);
-            let even = jain(&simulation, &[1, 2, 3]);
-            assert!(even > 0.8, "alone {alone}, {down_s} s at {moment} ms: {:?}", loads(&simulation, &[1, 2, 3]));
+            history.run(&mut simulation, &[1, 2, 3], secs(50));
+            check_recovery(&mut simulation, &mut history);
+            let fairness = fairness_index(&simulation, &[1, 2, 3]);
+            assert!(
+                fairness > 0.8,
+                "leader only {leader_only}, {outage_s} s at {delay_ms} ms: {:?}",
+                tasks_per_machine(&simulation, &[1, 2, 3])
+            );
         }
     }
 }
 
 #[test]
-fn transactions_of_moves_are_applied_late_or_their_answers_are_lost() {
-    for lost in [false, true] {
-        let (mut simulation, mut paths, _, _) = in_mid_move(spreading());
+fn transactions_of_moves_are_applied_late_or_lose_their_responses() {
+    for responses_lost in [false, true] {
+        let (mut simulation, mut history, _, _) = world_with_open_moves(rebalancing_policy());
         let leader = simulation.leader().expect("a leader");
         for _ in 0..6 {
-            if lost {
+            if responses_lost {
                 simulation.lost_txn_responses.insert(leader);
             } else {
                 let until = simulation.now + secs(3);
                 simulation.timed_out_txns_until.insert(leader, until);
             }
-            paths.run(&mut simulation, &[1, 2, 3], millis(1200));
+            history.run(&mut simulation, &[1, 2, 3], millis(1200));
             simulation.lost_txn_responses.clear();
             simulation.timed_out_txns_until.clear();
-            paths.run(&mut simulation, &[1, 2, 3], secs(3));
+            history.run(&mut simulation, &[1, 2, 3], secs(3));
         }
-        assert!(simulation.commits_without_response + simulation.late_commits > 0 || !lost, "nothing was lost");
-        paths.run(&mut simulation, &[1, 2, 3], secs(50));
-        assert!(paths.moves().1 <= 1, "a task was moved twice");
-        ends_well(&mut simulation, &mut paths);
+        assert!(
+            simulation.commits_without_response + simulation.late_commits > 0 || !responses_lost,
+            "no response was lost"
+        );
+        history.run(&mut simulation, &[1, 2, 3], secs(50));
+        assert!(history.move_counts().1 <= 1, "a task was moved twice");
+        check_recovery(&mut simulation, &mut history);
     }
 }
 
 #[test]
-fn a_spot_wave_takes_sources_and_destinations() {
-    let mut simulation = Simulation::with_facts(deployment(), 2, spreading(), &ZONES);
+fn spot_reclaims_take_sources_and_destinations_of_moves() {
+    let mut simulation = Simulation::with_facts(deployment_facts(), 2, rebalancing_policy(), &ZONES);
     simulation.task_duration_s = 300.0;
     simulation.boot_time = secs(2);
     simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 300.0);
@@ -220,7 +244,7 @@
     assert_eq!(simulation.submit(0, service(1, 4)), Some(201));
     simulation.run(secs(3));
     for (id, team) in [(2, "red"), (3, "blue")] {
-        let spec = JobSpec { spot: true, team: team.into(), ..saving(id, 40) };
+        let spec = JobSpec { spot: true, team: team.into(), ..checkpointing_job(id, 40) };
         assert_eq!(simulation.submit(1, spec), Some(201));
     }
     simulation.run(secs(28));
@@ -228,9 +252,9 @@
         simulation.cloud.add_machine(simulation.now, ZONES[n % 3], true);
     }
     simulation.cloud.capacity = 20;
-    let mut paths = Paths::default();
-    until_moves_open(&mut simulation, 2);
-    // Half of the spot machines go without notice, the others with one.
+    let mut history = TaskHistory::default();
+    run_until_moves_open(&mut simulation, 2);
+    // Half of the spot machines are reclaimed without notice, the others with notice.
     let spot: Vec<String> = simulation.workers.values().filter(|w| w.spot).map(|w| w.name.clone()).collect();
     for (n, name) in spot.iter().enumerate() {
         if n % 2 == 0 {
@@ -239,31 +263,34 @@
             simulation.workers.get_mut(name).expect("up").notice_s = Some(8.0);
         }
     }
-    paths.run(&mut simulation, &[1, 2, 3], secs(8));
+    history.run(&mut simulation, &[1, 2, 3], secs(8));
     for name in spot.iter().skip(1).step_by(2) {
         simulation.workers.remove(name);
         simulation.cloud.machines.remove(name);
     }
-    paths.run(&mut simulation, &[1, 2, 3], secs(60));
-    assert_eq!(loads(&simulation, &[1, 2, 3]).values().sum::<usize>(), 84, "not all runs again");
-    ends_well(&mut simulation, &mut paths);
+    history.run(&mut simulation, &[1, 2, 3], secs(60));
+    assert_eq!(tasks_per_machine(&simulation, &[1, 2, 3]).values().sum::<usize>(), 84, "not all tasks run again");
+    check_recovery(&mut simulation, &mut history);
 }
 
 #[test]
-fn a_destination_that_turns_unfit_before_the_booking_is_durable_ends_the_move_before_the_stop() {
-    for gone in [false, true] {
-        let mut simulation = skewed(4, 8, spreading());
+fn a_move_ends_before_the_stop_if_its_destination_fails_before_it_is_recorded() {
+    for destinations_gone in [false, true] {
+        let mut simulation = skewed_world(4, 8, rebalancing_policy());
         let leader = simulation.leader().expect("a leader");
         let until = simulation.now + secs(5);
         simulation.slow_txns_until.insert(leader, until);
         let started = simulation.started_tasks;
         simulation.run(millis(2500));
-        assert!(!booked_ever(&simulation), "a booking is durable");
-        let idle: Vec<String> =
-            loads(&simulation, &[1, 2, 3]).into_iter().filter(|(_, n)| *n == 0).map(|(name, _)| name).collect();
+        assert!(!any_move_recorded(&simulation), "a move is already recorded");
+        let idle: Vec<String> = tasks_per_machine(&simulation, &[1, 2, 3])
+            .into_iter()
+            .filter(|(_, n)| *n == 0)
+            .map(|(name, _)| name)
+            .collect();
         assert_eq!(idle.len(), 8);
         for machine in &idle {
-            if gone {
+            if destinations_gone {
                 simulation.workers.remove(machine);
                 simulation.cloud.machines.remove(machine);
             } else {
@@ -271,9 +298,12 @@
             }
         }
         simulation.run(secs(3));
-        assert!(booked_ever(&simulation), "no move was booked");
+        assert!(any_move_recorded(&simulation), "no move was recorded");
         simulation.run(secs(9));
-        assert_eq!(simulation.started_tasks, started, "gone {gone}: tasks were stopped with nowhere to go");
-        assert_eq!(loads(&simulation, &[1, 2, 3]).values().sum::<usize>(), 64);
+        assert_eq!(
+            simulation.started_tasks, started,
+            "gone {destinations_gone}: tasks were stopped without a destination"
+        );
+        assert_eq!(tasks_per_machine(&simulation, &[1, 2, 3]).values().sum::<usize>(), 64);
     }
 }
--- a/crates/core/tests/relay.rs
+++ b/crates/core/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Stories of reports that one node hands to another, on the same stand-ins.
+//! Scenario tests of reports that a follower relays to the leader, on in-memory fakes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,8 +6,8 @@
 use rushyoke_core::{Facts, Policy, Team};
 use rushyoke_testkit::{Simulation, facts, secs, service};
 
-/// Twelve machines at work, a third of which reports to each node.
-fn at_work() -> Simulation {
+/// Returns a world in which twelve machines run a service of 60 tasks; four machines report to each node.
+fn running_service() -> Simulation {
     let mut simulation = Simulation::new(12);
     for (n, worker) in simulation.workers.values_mut().enumerate() {
         worker.node = n % 3;
@@ -19,102 +19,108 @@
     simulation
 }
 
-fn undisturbed(simulation: &Simulation) {
+/// Asserts that no replica of the service was restarted and no lease expired.
+fn check_undisturbed(simulation: &Simulation) {
     assert_eq!(simulation.running_tasks("wk-000001").len(), 60);
-    assert_eq!(simulation.started_tasks, 60, "a replica was lost");
-    assert!(simulation.workers.values().all(|worker| worker.session == 1), "a lease ended");
+    assert_eq!(simulation.started_tasks, 60, "a replica was restarted");
+    assert!(simulation.workers.values().all(|worker| worker.session == 1), "a lease expired");
 }
 
-fn reporting_to(simulation: &Simulation, node: usize) -> usize {
+/// Returns the number of workers that report to a node.
+fn workers_reporting_to(simulation: &Simulation, node: usize) -> usize {
     simulation.workers.values().filter(|worker| worker.node == node).count()
 }
 
 #[test]
-fn workers_stay_with_the_node_they_came_to() {
-    // Found on the first day on smaller machines: a leader with all reports had no processor left
-    // and lost its lease.
-    let mut simulation = at_work();
-    assert!((0..3).all(|node| reporting_to(&simulation, node) == 4));
-    let (relayed, full) = (simulation.relayed_reports, simulation.relayed_full_reports);
+fn workers_keep_reporting_to_the_same_node() {
+    // Guards against all workers reporting to the leader: on small machines such a leader ran out of
+    // CPU time and lost its lease.
+    let mut simulation = running_service();
+    assert!((0..3).all(|node| workers_reporting_to(&simulation, node) == 4));
+    let (relayed_before, relayed_full_before) = (simulation.relayed_reports, simulation.relayed_full_reports);
     simulation.run(secs(20));
-    // Eight machines report every two seconds or so, and nothing happens on them.
-    assert!(simulation.relayed_reports - relayed >= 60, "{} reports", simulation.relayed_reports - relayed);
-    assert_eq!(simulation.relayed_full_reports, full, "lists that did not change were told again");
-    undisturbed(&simulation);
+    // Eight machines report about every two seconds, and their task lists do not change.
+    assert!(
+        simulation.relayed_reports - relayed_before >= 60,
+        "{} relayed reports",
+        simulation.relayed_reports - relayed_before
+    );
+    assert_eq!(simulation.relayed_full_reports, relayed_full_before, "unchanged task lists were relayed again");
+    check_undisturbed(&simulation);
 }
 
 #[test]
-fn a_new_leader_is_told_all_by_the_nodes_that_workers_report_to() {
-    let mut simulation = at_work();
-    let leader = simulation.leader().expect("a lead");
-    let full = simulation.relayed_full_reports;
-    // It goes on answering what the others hand on, until one of them leads.
+fn followers_relay_full_task_lists_to_a_new_leader() {
+    let mut simulation = running_service();
+    let leader = simulation.leader().expect("a leader");
+    let relayed_full_before = simulation.relayed_full_reports;
+    // The leader continues to respond to relayed reports until another node leads.
     simulation.partitioned_from_store.insert(leader);
     simulation.run(secs(10));
-    let new = simulation.leader().expect("a lead");
-    assert_ne!(new, leader);
-    let third = (0..3).find(|node| *node != leader && *node != new).expect("three nodes");
-    assert!(reporting_to(&simulation, third) >= 4, "its workers went away");
-    assert!(simulation.relayed_full_reports > full, "the new leader knows no list");
-    undisturbed(&simulation);
+    let new_leader = simulation.leader().expect("a leader");
+    assert_ne!(new_leader, leader);
+    let follower = (0..3).find(|node| *node != leader && *node != new_leader).expect("three nodes");
+    assert!(workers_reporting_to(&simulation, follower) >= 4, "its workers report to other nodes");
+    assert!(simulation.relayed_full_reports > relayed_full_before, "the new leader was sent no full task list");
+    check_undisturbed(&simulation);
     assert_eq!(simulation.submit((leader + 1) % 3, service(2, 4)), Some(201));
     simulation.run(secs(5));
     assert_eq!(simulation.running_tasks("wk-000002").len(), 4);
 }
 
 #[test]
-fn answers_that_hang_are_not_waited_for() {
-    // A worker waits for four seconds, and its lease is short: it is told at once to go on, and
-    // an answer that comes after that goes nowhere.
-    let mut simulation = at_work();
+fn workers_are_redirected_when_relayed_reports_get_no_response() {
+    // A worker waits four seconds for a response, and its lease is short. A node whose relayed reports get
+    // no response therefore redirects its workers to the leader, and drops responses that arrive later.
+    let mut simulation = running_service();
     simulation.delayed_relay_responses_until = Some(simulation.now + secs(30));
     simulation.run(secs(24));
-    let leader = simulation.leader().expect("a lead");
-    assert_eq!(reporting_to(&simulation, leader), 12);
-    undisturbed(&simulation);
+    let leader = simulation.leader().expect("a leader");
+    assert_eq!(workers_reporting_to(&simulation, leader), 12);
+    check_undisturbed(&simulation);
     simulation.run(secs(20));
-    undisturbed(&simulation);
+    check_undisturbed(&simulation);
 }
 
 #[test]
-fn a_node_that_cannot_hand_reports_on_sends_workers_to_the_leader() {
-    let mut simulation = at_work();
-    let leader = simulation.leader().expect("a lead");
+fn a_node_that_cannot_relay_reports_redirects_workers_to_the_leader() {
+    let mut simulation = running_service();
+    let leader = simulation.leader().expect("a leader");
     simulation.partitioned_from_peers.insert(leader);
     simulation.run(secs(20));
     assert_eq!(simulation.leader(), Some(leader));
-    assert_eq!(reporting_to(&simulation, leader), 12);
-    undisturbed(&simulation);
+    assert_eq!(workers_reporting_to(&simulation, leader), 12);
+    check_undisturbed(&simulation);
 }
 
 #[test]
-fn a_busy_leader_sends_its_own_workers_to_nodes_with_more_time() {
-    let mut simulation = at_work();
-    let leader = simulation.leader().expect("a lead");
+fn a_busy_leader_redirects_its_workers_to_less_busy_nodes() {
+    let mut simulation = running_service();
+    let leader = simulation.leader().expect("a leader");
     simulation.workers.values_mut().for_each(|worker| worker.node = leader);
     simulation.run(secs(5));
-    assert_eq!(reporting_to(&simulation, leader), 12, "it is not busy");
+    assert_eq!(workers_reporting_to(&simulation, leader), 12, "the leader is not busy yet");
     simulation.processor_load.insert(leader, (0.9, Duration::ZERO));
     simulation.run(secs(30));
-    assert_eq!(reporting_to(&simulation, leader), 0);
-    undisturbed(&simulation);
-    // Nobody has more time: none is sent away.
+    assert_eq!(workers_reporting_to(&simulation, leader), 0);
+    check_undisturbed(&simulation);
+    // All nodes are equally busy, so no worker is redirected.
     (0..3).for_each(|node| {
         simulation.processor_load.insert(node, (0.9, Duration::ZERO));
     });
     simulation.run(secs(5));
     simulation.workers.values_mut().for_each(|worker| worker.node = leader);
     simulation.run(secs(10));
-    assert_eq!(reporting_to(&simulation, leader), 12);
-    undisturbed(&simulation);
+    assert_eq!(workers_reporting_to(&simulation, leader), 12);
+    check_undisturbed(&simulation);
 }
 
 #[test]
-fn a_leader_short_of_processor_takes_over_a_few_machines_at_a_time() {
-    // Found on a quiet day with half of the share: 75 calls at once to machines with services held
-    // the processor for so long that the lease ended, and so did that of the next leader.
-    let mut most = Vec::new();
-    for late in [Duration::from_millis(200), Duration::ZERO] {
+fn a_leader_short_of_cpu_takes_over_a_few_machines_at_a_time() {
+    // Guards against a new leader making 75 direct calls at once to machines with services: with half of
+    // its CPU share that kept it busy until its lease expired, and then the next leader's too.
+    let mut peak_direct_calls = Vec::new();
+    for tick_delay in [Duration::from_millis(200), Duration::ZERO] {
         let team = Team { cpus: 2_000.0, cpus_max: 4_000.0, gpus: 0.0, gpus_max: 0.0 };
         let facts = Facts { teams: BTreeMap::from([("red".into(), team)]), ..facts(0, 3) };
         let mut simulation = Simulation::with_facts(facts, 80, Policy::default(), &["a"]);
@@ -124,15 +130,18 @@
         }
         simulation.run(secs(6));
         (0..3).for_each(|node| {
-            simulation.processor_load.insert(node, (0.9, late));
+            simulation.processor_load.insert(node, (0.9, tick_delay));
         });
-        let leader = simulation.leader().expect("a lead");
+        let leader = simulation.leader().expect("a leader");
         simulation.crash_node(leader);
         simulation.peak_direct_calls = 0;
         simulation.run(secs(20));
-        most.push(simulation.peak_direct_calls);
+        peak_direct_calls.push(simulation.peak_direct_calls);
         assert_eq!((0..40).map(|id| simulation.running_tasks(&format!("wk-{id:06}")).len()).sum::<usize>(), 640);
-        assert_eq!(simulation.started_tasks, 640, "a replica was lost");
+        assert_eq!(simulation.started_tasks, 640, "a replica was restarted");
     }
-    assert!(most[0] <= 20 && most[1] > most[0], "{most:?} direct calls at a time");
+    assert!(
+        peak_direct_calls[0] <= 20 && peak_direct_calls[1] > peak_direct_calls[0],
+        "{peak_direct_calls:?} concurrent direct calls"
+    );
 }
--- a/crates/core/tests/state_service.rs
+++ b/crates/core/tests/state_service.rs
@@ -1,14 +1,16 @@
-//! A state service that is silent, slow or applies transactions late, and the limits of its records.
+//! Scenario tests of a state service that does not respond, is slow or applies transactions late, and of its size
+//! limits.
 
 use rushyoke_testkit::{Simulation, job, secs, service};
 use rushyoke_wire::job::JobStatus;
 
-fn other_than(node: usize) -> usize {
+/// Returns a node other than the given one.
+fn another_node(node: usize) -> usize {
     (node + 1) % 3
 }
 
 #[test]
-fn a_short_silence_of_the_store_kills_no_work() {
+fn a_short_store_outage_stops_no_task() {
     let mut simulation = Simulation::with_elected_leader(2);
     simulation.submit(0, service(1, 4));
     simulation.run(secs(4));
@@ -25,13 +27,13 @@
 }
 
 #[test]
-fn a_long_silence_of_the_store_ends_the_leases_and_work_returns() {
+fn tasks_restart_after_a_store_outage_longer_than_the_leases() {
     let mut simulation = Simulation::with_elected_leader(2);
     simulation.submit(0, service(1, 4));
     simulation.run(secs(4));
     simulation.store.outage = true;
     simulation.run(secs(40));
-    assert!(simulation.running_tasks("wk-000001").is_empty(), "the leader had to fall silent");
+    assert!(simulation.running_tasks("wk-000001").is_empty(), "the tasks outlived their leases");
     let now = simulation.now;
     simulation.store.end_outage(now);
     simulation.run(secs(20));
@@ -41,32 +43,32 @@
 #[test]
 fn an_old_page_applied_late_does_not_mislead_the_next_leader() {
     let mut simulation = Simulation::with_elected_leader(3);
-    let leader = simulation.leader().expect("a lead");
+    let leader = simulation.leader().expect("a leader");
     let mut spec = service(1, 2);
     spec.cpus = 16.0;
     simulation.timed_out_txns_until.insert(leader, simulation.now + secs(30));
-    simulation.submit(other_than(leader), spec);
+    simulation.submit(another_node(leader), spec);
     simulation.run(secs(1));
     simulation.timed_out_txns_until.clear();
     simulation.run(secs(6));
     let (_, machine) = simulation.running_tasks("wk-000001")[0].clone();
     simulation.workers.remove(&machine);
     simulation.run(secs(26));
-    // By now the first page, which names the dead machine, has been tried again.
-    let before = simulation.running_tasks("wk-000001");
-    assert_eq!((before.len(), simulation.started_tasks), (2, 3));
+    // By now the write of the first page, which names the dead machine, has been retried.
+    let placements_before = simulation.running_tasks("wk-000001");
+    assert_eq!((placements_before.len(), simulation.started_tasks), (2, 3));
     simulation.crash_node(leader);
     simulation.run(secs(25));
-    assert_eq!((simulation.running_tasks("wk-000001"), simulation.started_tasks), (before, 3));
+    assert_eq!((simulation.running_tasks("wk-000001"), simulation.started_tasks), (placements_before, 3));
 }
 
 #[test]
-fn a_late_transaction_does_not_bring_back_old_records() {
+fn a_late_transaction_does_not_restore_old_records() {
     let mut simulation = Simulation::with_elected_leader(2);
     simulation.submit(0, job(1, 6));
     simulation.run(secs(3));
-    let leader = simulation.leader().expect("a lead");
-    // What the leader writes for the next seconds is applied 30 s late, if at all.
+    let leader = simulation.leader().expect("a leader");
+    // The leader's transactions of the next two seconds are applied 30 s late, if at all.
     simulation.timed_out_txns_until.insert(leader, simulation.now + secs(30));
     simulation.run(secs(2));
     simulation.timed_out_txns_until.clear();
@@ -76,53 +78,54 @@
 }
 
 #[test]
-fn an_unanswered_transaction_is_dead_before_the_log_moves_on() {
-    // A late copy that is applied after a newer segment was begun would be the last word on
-    // its tasks, and say where they were before.
+fn an_unanswered_transaction_cannot_apply_after_the_log_advances() {
+    // Guards against a late copy of a transaction that is applied after a newer segment was begun: it would
+    // override the newer segment with outdated placements.
     let mut simulation = Simulation::with_elected_leader(4);
-    let small = |id, tasks| {
+    let small_job = |id, tasks| {
         let mut spec = job(id, tasks);
         (spec.cpus, spec.memory_gb) = (0.25, 0.1);
         spec
     };
-    simulation.submit(0, small(1, 150));
+    simulation.submit(0, small_job(1, 150));
     simulation.run(secs(2));
-    let leader = simulation.leader().expect("a lead");
+    let leader = simulation.leader().expect("a leader");
     simulation.timed_out_txns_until.insert(leader, simulation.now + secs(8));
-    simulation.submit(other_than(leader), small(2, 10));
+    simulation.submit(another_node(leader), small_job(2, 10));
     simulation.run(secs(1));
     simulation.timed_out_txns_until.clear();
-    // With these the segment is more than full.
-    simulation.submit(other_than(leader), small(3, 60));
+    // These tasks no longer fit into the segment.
+    simulation.submit(another_node(leader), small_job(3, 60));
     simulation.run(secs(20));
     assert_eq!(simulation.late_commits, 0, "a late transaction was applied");
     assert_eq!(simulation.started_tasks, 220);
 }
 
 #[test]
-fn an_array_of_100_000_tasks_stays_within_the_limits_of_records() {
+fn an_array_of_100_000_tasks_stays_within_record_size_limits() {
     let mut simulation = Simulation::with_elected_leader(4);
-    // The store refuses (by a panic) any value over 8 KiB and too large a transaction.
+    // The fake store panics on values over 8 KiB and on transactions that are too large.
     let mut spec = job(1, 100_000);
     spec.cpus = 0.25;
     spec.memory_gb = 0.1;
     assert_eq!(simulation.submit(0, spec), Some(201));
     simulation.run(secs(15));
     assert!(simulation.running_tasks("wk-000001").len() > 100);
-    let leader = simulation.leader().expect("a lead");
+    let leader = simulation.leader().expect("a leader");
     simulation.crash_node(leader);
     simulation.run(secs(15));
     assert!(simulation.running_tasks("wk-000001").len() > 100);
-    let view = simulation.status(other_than(leader), "wk-000001").and_then(|s| s.1).expect("an answer");
+    let view = simulation.status(another_node(leader), "wk-000001").and_then(|s| s.1).expect("a response");
     assert!(view.done.is_some_and(|done| done > 100), "{view:?}");
 }
 
 #[test]
-fn a_node_serves_its_users_as_soon_as_the_store_is_back() {
-    // A node that follows makes no calls while it turns users away, and did not notice.
+fn a_follower_serves_users_as_soon_as_the_store_is_back() {
+    // Guards against a follower that does not notice the store's recovery: while it rejects users it makes no
+    // calls to the store.
     let mut simulation = Simulation::with_elected_leader(1);
     simulation.submit(0, job(1, 2));
-    let follower = other_than(simulation.leader().expect("a lead"));
+    let follower = another_node(simulation.leader().expect("a leader"));
     simulation.partitioned_from_store.insert(follower);
     simulation.status(follower, "wk-000001");
     simulation.run(secs(3));
@@ -133,9 +136,9 @@
 }
 
 #[test]
-fn jobs_that_a_watch_missed_are_read_again() {
+fn jobs_missed_by_a_watch_are_read_again() {
     let mut simulation = Simulation::with_elected_leader(2);
-    // The store forgets changes so soon that nearly every watch comes too late (410).
+    // The store discards changes so soon that nearly every watch fails with 410.
     simulation.store.max_log_events = 2;
     for id in 1..9 {
         assert_eq!(simulation.submit(id as usize % 3, job(id, 3)), Some(201));
@@ -146,7 +149,7 @@
     simulation.run(secs(10));
     for id in 1..9 {
         assert_eq!(simulation.job_state(id as usize % 3, &format!("wk-{id:06}")), Some(JobStatus::Done));
-        assert_eq!(simulation.submit(id as usize % 3, job(id, 3)), Some(200), "a repeat");
+        assert_eq!(simulation.submit(id as usize % 3, job(id, 3)), Some(200), "a resubmission");
     }
     assert!(simulation.running_tasks("wk-000020").is_empty());
     assert_eq!(simulation.started_tasks, 26);
