--- a/crates/testkit/src/checker.rs
+++ b/crates/testkit/src/checker.rs
@@ -1,4 +1,5 @@
-//! What users were told, and the rules for what they may be told next.
+//! A checker of what users are told: it records requests and responses, and verifies each response
+//! against the earlier ones and against the tasks that ran.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,200 +7,217 @@
 use rushyoke_core::{HttpResponse, Input};
 use rushyoke_wire::job::{JobStatus, JobView};
 
+/// The kind of a user's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Kind {
+enum RequestKind {
     Submit,
     Status,
     Cancel,
     Other,
 }
 
-/// What a user asked, and what any user had been told of the job before.
+/// A user's request, and what users had been told about the job when it was sent.
 #[derive(Clone, Debug)]
 pub struct UserRequest {
-    kind: Kind,
+    kind: RequestKind,
     job: String,
     was_accepted: bool,
-    over: Option<JobStatus>,
+    final_state: Option<JobStatus>,
 }
 
-/// The state of things as users know it.
+/// Records what users asked and were told, and checks each response.
 #[derive(Default)]
 pub struct Checker {
     submitted: BTreeSet<String>,
     accepted_jobs: BTreeSet<String>,
-    /// Submissions that were refused for good; one that awaits others may be accepted later.
+    /// Jobs whose submission was refused for good. Only jobs without dependencies: others may be accepted later.
     refused: BTreeSet<String>,
-    over: BTreeMap<String, JobStatus>,
+    /// Final states that users were told.
+    final_states: BTreeMap<String, JobStatus>,
     /// Jobs that a user asked to cancel.
     cancel_requested: BTreeSet<String>,
-    /// Tasks that completed on some machine.
-    done: BTreeMap<String, BTreeSet<u32>>,
-    /// Numbers of tasks by job.
-    tasks: BTreeMap<String, u32>,
-    awaits: BTreeMap<String, Vec<String>>,
-    /// When a user was told that a job is cancelled.
-    cancelled: BTreeMap<String, Duration>,
-    /// Tasks of jobs that await others which began.
+    /// Numbers of the tasks that finished on some machine, by job.
+    done_tasks: BTreeMap<String, BTreeSet<u32>>,
+    /// Number of tasks, by job.
+    task_counts: BTreeMap<String, u32>,
+    /// Dependencies, by job.
+    dependencies: BTreeMap<String, Vec<String>>,
+    /// When the cancellation of a job was first confirmed to the user who requested it.
+    cancel_confirmed_at: BTreeMap<String, Duration>,
+    /// Number of dependencies checked at the starts of dependents' tasks.
     pub dependent_starts: u64,
-    /// Answers of status 200 and 201.
+    /// Number of responses with status 200 or 201.
     pub successful_responses: u64,
 }
 
 impl Checker {
-    /// Notes a question at the moment it is asked.
+    /// Records a request at the moment it is sent.
     pub(crate) fn record_request(&mut self, input: &Input) -> UserRequest {
         let (kind, job) = match input {
             Input::Submit { spec, .. } => {
                 self.submitted.insert(spec.id.clone());
-                self.tasks.entry(spec.id.clone()).or_insert(spec.tasks);
-                self.awaits.entry(spec.id.clone()).or_insert_with(|| spec.dependencies.clone());
-                (Kind::Submit, spec.id.clone())
+                self.task_counts.entry(spec.id.clone()).or_insert(spec.tasks);
+                self.dependencies.entry(spec.id.clone()).or_insert_with(|| spec.dependencies.clone());
+                (RequestKind::Submit, spec.id.clone())
             }
-            Input::Status { id, .. } => (Kind::Status, id.clone()),
+            Input::Status { id, .. } => (RequestKind::Status, id.clone()),
             Input::Cancel { id, .. } => {
                 self.cancel_requested.insert(id.clone());
-                (Kind::Cancel, id.clone())
+                (RequestKind::Cancel, id.clone())
             }
-            _ => (Kind::Other, String::new()),
+            _ => (RequestKind::Other, String::new()),
         };
-        UserRequest { kind, was_accepted: self.accepted_jobs.contains(&job), over: self.over.get(&job).copied(), job }
+        UserRequest {
+            kind,
+            was_accepted: self.accepted_jobs.contains(&job),
+            final_state: self.final_states.get(&job).copied(),
+            job,
+        }
     }
 
-    /// Checks an answer against all that any node told before its question was asked.
+    /// Checks a response against all that any node had told users before the request was sent.
     pub(crate) fn check_response(
         &mut self,
         now: Duration,
-        cancel: Duration,
+        cancel_limit: Duration,
         node: usize,
-        question: &UserRequest,
-        answer: &HttpResponse,
+        request: &UserRequest,
+        response: &HttpResponse,
     ) {
-        let UserRequest { kind, job, was_accepted, over } = question;
-        if *kind == Kind::Other {
+        let UserRequest { kind, job, was_accepted, final_state } = request;
+        if *kind == RequestKind::Other {
             return;
         }
-        if matches!(answer.status, 400 | 404 | 422) {
-            assert!(!was_accepted, "at {now:?} node {node} answers {} about {job}, which was accepted", answer.status);
-            if *kind == Kind::Submit && self.awaits.get(job).is_none_or(Vec::is_empty) {
+        if matches!(response.status, 400 | 404 | 422) {
+            assert!(
+                !was_accepted,
+                "at {now:?} node {node} responds {} about {job}, which was accepted",
+                response.status
+            );
+            if *kind == RequestKind::Submit && self.dependencies.get(job).is_none_or(Vec::is_empty) {
                 self.refused.insert(job.clone());
             }
             return;
         }
-        if !matches!(answer.status, 200 | 201) {
-            assert!(matches!(answer.status, 429 | 503), "{job}: status {}", answer.status);
-            assert!(answer.retry_after_s.is_some(), "{job}: {} without a time to come back", answer.status);
+        if !matches!(response.status, 200 | 201) {
+            assert!(matches!(response.status, 429 | 503), "{job}: status {}", response.status);
+            assert!(response.retry_after_s.is_some(), "{job}: {} without retry-after", response.status);
             return;
         }
         self.successful_responses += 1;
-        let view: JobView = serde_json::from_slice(&answer.body).expect("a job's state is well formed");
-        assert!(!self.refused.contains(job), "at {now:?} node {node} takes {job}, which was refused");
+        let view: JobView = serde_json::from_slice(&response.body).expect("a job's state is well formed");
+        assert!(!self.refused.contains(job), "at {now:?} node {node} accepts {job}, which was refused");
         assert!(self.submitted.contains(job), "at {now:?} {job}, which nobody submitted, is {:?}", view.state);
-        if let Some(over) = over {
-            assert_eq!(view.state, *over, "at {now:?} node {node}: {job} went back");
+        if let Some(final_state) = final_state {
+            assert_eq!(view.state, *final_state, "at {now:?} node {node}: {job} left its final state");
         }
         self.accepted_jobs.insert(job.clone());
         if view.state.is_final() {
-            let told = *self.over.entry(job.clone()).or_insert(view.state);
-            assert_eq!(told, view.state, "at {now:?} {job} has two ends");
+            let final_state = *self.final_states.entry(job.clone()).or_insert(view.state);
+            assert_eq!(final_state, view.state, "at {now:?} {job} has two final states");
         }
         match view.state {
             JobStatus::Done => {
-                let (done, all) = (self.finished_tasks(job), self.tasks[job]);
-                assert_eq!(done, all, "at {now:?} {job} is called done");
+                let (finished, total) = (self.finished_tasks(job), self.task_counts[job]);
+                assert_eq!(finished, total, "at {now:?} {job} is reported done");
             }
             JobStatus::Cancelled => {
                 assert!(
                     self.with_dependencies(job).any(|id| self.cancel_requested.contains(&id)),
                     "at {now:?} nobody cancelled {job}"
                 );
-                if *kind == Kind::Cancel {
-                    self.cancelled.entry(job.clone()).or_insert(now);
+                if *kind == RequestKind::Cancel {
+                    self.cancel_confirmed_at.entry(job.clone()).or_insert(now);
                 }
             }
             _ => {
-                let lost = self.with_dependencies(job).filter_map(|id| self.cancelled.get(&id)).min();
+                let cancelled_at = self.with_dependencies(job).filter_map(|id| self.cancel_confirmed_at.get(&id)).min();
                 assert!(
-                    lost.is_none_or(|since| now <= *since + cancel),
-                    "at {now:?} node {node}: {job} is {:?}, but what it needs was cancelled at {lost:?}",
+                    cancelled_at.is_none_or(|since| now <= *since + cancel_limit),
+                    "at {now:?} node {node}: {job} is {:?}, but it or a dependency was cancelled at {cancelled_at:?}",
                     view.state
                 );
             }
         }
     }
 
-    /// A job, and all that it needs directly or through others.
+    /// Returns a job and its direct and indirect dependencies.
     fn with_dependencies(&self, job: &str) -> impl Iterator<Item = String> {
-        let (mut all, mut left) = (BTreeSet::new(), vec![job.to_owned()]);
-        while let Some(id) = left.pop() {
-            if all.insert(id.clone()) {
-                left.extend(self.awaits.get(&id).into_iter().flatten().cloned());
+        let (mut visited, mut pending) = (BTreeSet::new(), vec![job.to_owned()]);
+        while let Some(id) = pending.pop() {
+            if visited.insert(id.clone()) {
+                pending.extend(self.dependencies.get(&id).into_iter().flatten().cloned());
             }
         }
-        all.into_iter()
+        visited.into_iter()
     }
 
-    /// A task of the job begins: all that its job needs must be done.
+    /// Checks at the start of a job's task that all dependencies of the job are done.
     pub(crate) fn check_start(&mut self, now: Duration, job: &str) {
-        for dep in self.awaits.get(job).into_iter().flatten() {
-            let (done, all) = (self.finished_tasks(dep), self.tasks.get(dep).copied());
-            assert_eq!(Some(done), all, "at {now:?} a task of {job} begins too early, before {dep} is done");
+        for dependency in self.dependencies.get(job).into_iter().flatten() {
+            let (finished, total) = (self.finished_tasks(dependency), self.task_counts.get(dependency).copied());
+            assert_eq!(
+                Some(finished),
+                total,
+                "at {now:?} a task of {job} starts before its dependency {dependency} is done"
+            );
             self.dependent_starts += 1;
         }
     }
 
-    /// Whether a job that it awaits is not done yet.
+    /// Whether a direct dependency of the job is not done yet.
     pub(crate) fn has_unfinished_dependencies(&self, job: &str) -> bool {
-        let awaits = self.awaits.get(job).into_iter().flatten();
-        awaits.into_iter().any(|dep| self.tasks.get(dep).is_none_or(|tasks| self.finished_tasks(dep) < *tasks))
+        let dependencies = self.dependencies.get(job).into_iter().flatten();
+        dependencies.into_iter().any(|id| self.task_counts.get(id).is_none_or(|total| self.finished_tasks(id) < *total))
     }
 
+    /// Records that a task, named `job/number`, finished on some machine.
     pub(crate) fn record_finished_task(&mut self, task: &str) {
         if let Some((job, number)) = task.rsplit_once('/')
             && let Ok(number) = number.parse()
         {
-            self.done.entry(job.to_owned()).or_default().insert(number);
+            self.done_tasks.entry(job.to_owned()).or_default().insert(number);
         }
     }
 
-    /// A user asked a node that is not part of the story to cancel a job.
+    /// Records a request to cancel a job that was sent to a node outside the simulation.
     pub fn record_cancel_request(&mut self, job: &str) {
         self.cancel_requested.insert(job.to_owned());
     }
 
-    /// What a job that was accepted before the story began awaits.
-    pub fn add_earlier_dependencies(&mut self, job: &str, awaits: &[String]) {
-        self.awaits.insert(job.to_owned(), awaits.to_vec());
+    /// Records the dependencies of a job that was accepted before the simulation started.
+    pub fn add_earlier_dependencies(&mut self, job: &str, dependencies: &[String]) {
+        self.dependencies.insert(job.to_owned(), dependencies.to_vec());
     }
 
-    /// A user was told just before the story began that the job is cancelled.
+    /// Records that a user was told, just before the simulation started, that the job is cancelled.
     pub fn add_earlier_cancellation(&mut self, job: &str, now: Duration) {
         self.cancel_requested.insert(job.to_owned());
-        self.over.insert(job.to_owned(), JobStatus::Cancelled);
-        self.cancelled.insert(job.to_owned(), now);
+        self.final_states.insert(job.to_owned(), JobStatus::Cancelled);
+        self.cancel_confirmed_at.insert(job.to_owned(), now);
     }
 
-    /// A job that was accepted, and perhaps ended, before the story began.
+    /// Records a job that was accepted, and finished if `done`, before the simulation started.
     pub fn add_earlier_job(&mut self, job: &str, tasks: u32, done: bool) {
         self.submitted.insert(job.to_owned());
         self.accepted_jobs.insert(job.to_owned());
-        self.tasks.insert(job.to_owned(), tasks);
+        self.task_counts.insert(job.to_owned(), tasks);
         if done {
-            self.done.insert(job.to_owned(), (0..tasks).collect());
+            self.done_tasks.insert(job.to_owned(), (0..tasks).collect());
         }
     }
 
-    /// How many tasks of a job completed somewhere.
+    /// Returns the number of a job's tasks that finished on some machine.
     pub fn finished_tasks(&self, job: &str) -> u32 {
-        self.done.get(job).map_or(0, |tasks| tasks.len() as u32)
+        self.done_tasks.get(job).map_or(0, |tasks| tasks.len() as u32)
     }
 
     /// Whether a user was told that the job is done or cancelled.
     pub fn has_ended(&self, job: &str) -> bool {
-        self.over.contains_key(job)
+        self.final_states.contains_key(job)
     }
 
-    /// Jobs that a user was told are accepted.
+    /// Returns the jobs that a user was told are accepted.
     pub fn accepted_jobs(&self) -> Vec<String> {
         self.accepted_jobs.iter().cloned().collect()
     }
--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the cloud.
+//! A fake cloud.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,46 +6,48 @@
 use rushyoke_core::{CloudOp, CloudResponse};
 use rushyoke_wire::cloud::{ListedMachine, Listing, MachineType, Phase};
 
-/// Machines in one answer to a list.
-const PAGE: usize = 500;
+/// Number of machines in a page of a listing.
+const PAGE_SIZE: usize = 500;
 
-/// A machine that is rented.
+/// A rented machine.
 #[derive(Clone)]
 pub struct RentedMachine {
-    /// Its type.
+    /// Name of its machine type.
     pub kind: String,
     /// Its zone.
     pub zone: String,
-    /// Whether the cloud may take it back.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// When it was rented.
+    /// Simulated time at which it was rented.
     pub rented_at: Duration,
     /// Whether it has booted.
     pub booted: bool,
 }
 
-/// A stand-in for the cloud.
+/// A fake cloud that rents machines.
 pub struct Cloud {
-    /// The types that it rents.
+    /// Machine types that it offers.
     pub types: Vec<MachineType>,
-    /// Machines that are rented, by name.
+    /// Rented machines, by name.
     pub machines: BTreeMap<String, RentedMachine>,
+    /// Machines given for each rental request, so that a repeated request rents nothing more.
     requests: BTreeMap<String, Vec<String>>,
-    serial: u32,
-    /// It answers nobody.
+    /// Number of the next machine.
+    next_serial: u32,
+    /// Whether the cloud is unavailable.
     pub outage: bool,
-    /// Free machines; none are given beyond.
+    /// Largest number of machines that can be rented at a time.
     pub capacity: u32,
-    /// Machines that will never come up.
+    /// Machines that will never boot.
     pub never_boot: BTreeSet<String>,
-    /// Rentals carried out.
+    /// Number of rentals executed.
     pub rentals: u32,
 }
 
 impl Cloud {
-    /// A cloud with one type of machine in these zones.
+    /// Returns a cloud that offers one machine type in the given zones.
     pub fn new(zones: &[&str]) -> Cloud {
-        let kind = MachineType {
+        let machine_type = MachineType {
             name: "m16".into(),
             cpus: 16.0,
             gpus: 0.0,
@@ -58,10 +60,10 @@
             zones: zones.iter().map(|z| (*z).to_owned()).collect(),
         };
         Cloud {
-            types: vec![kind],
+            types: vec![machine_type],
             machines: BTreeMap::new(),
             requests: BTreeMap::new(),
-            serial: 0,
+            next_serial: 0,
             outage: false,
             capacity: 20,
             never_boot: BTreeSet::new(),
@@ -69,17 +71,17 @@
         }
     }
 
-    /// Adds a machine that nobody asked for, or that was there from the start.
+    /// Adds a machine of the first type that no controller requested, and returns its name.
     pub fn add_machine(&mut self, now: Duration, zone: &str, spot: bool) -> String {
-        let name = format!("n-{:06}", self.serial);
-        self.serial += 1;
+        let name = format!("n-{:06}", self.next_serial);
+        self.next_serial += 1;
         let kind = self.types[0].name.clone();
         self.machines
             .insert(name.clone(), RentedMachine { kind, zone: zone.into(), spot, rented_at: now, booted: false });
         name
     }
 
-    /// Carries out a call.
+    /// Executes an operation.
     pub fn execute(&mut self, now: Duration, op: &CloudOp) -> CloudResponse {
         if self.outage {
             return CloudResponse::Unavailable;
@@ -117,7 +119,7 @@
                     phase: if m.booted { Phase::Running } else { Phase::Booting },
                     age_s: (now - m.rented_at).as_secs_f64(),
                 });
-                let page = machines.by_ref().take(PAGE).collect();
+                let page = machines.by_ref().take(PAGE_SIZE).collect();
                 CloudResponse::Listing(Listing { machines: page, more: machines.next().is_some() })
             }
         }
--- a/crates/testkit/src/deployment.rs
+++ b/crates/testkit/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The platform's facts of a small test deployment, and jobs for it.
+//! Platform facts of a small test deployment, and specifications of jobs for it.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use rushyoke_core::{Facts, Team};
 use rushyoke_wire::job::{JobSpec, Kind, Priority};
 
-/// The platform's facts of a small test deployment.
+/// Returns the platform facts of controller `node` in a small test deployment of `nodes` controllers.
 pub fn facts(node: usize, nodes: usize) -> Facts {
     let label = |n: usize| format!("node-{n}");
     let team = |cpus, cpus_max| Team { cpus, cpus_max, gpus: 0.0, gpus_max: 0.0 };
@@ -29,7 +29,7 @@
     }
 }
 
-/// An array of one-CPU tasks of team red.
+/// Returns an array job of team red with the given number of one-CPU tasks.
 pub fn job(id: u32, tasks: u32) -> JobSpec {
     JobSpec {
         id: format!("wk-{id:06}"),
@@ -56,7 +56,7 @@
     }
 }
 
-/// A production service of team red.
+/// Returns a production service of team red with the given number of one-CPU tasks.
 pub fn service(id: u32, tasks: u32) -> JobSpec {
     JobSpec {
         class: "service".into(),
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,6 +1,7 @@
-//! In-memory stand-ins of everything around the controllers, for tests: the state
-//! service, the cloud, workers and the network between them, under one simulated clock.
-//! They follow the published protocol and check the users' rules as they go.
+//! In-memory fakes of everything around the controllers, for tests: the state service,
+//! the cloud, workers, users and the network between them, driven by one simulated clock.
+//! They follow the published protocol. A [`Checker`] verifies the guarantees given to users
+//! while a scenario runs.
 
 #![warn(missing_docs)]
 
--- a/crates/testkit/src/scenario.rs
+++ b/crates/testkit/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What most stories begin with: durations, job ids, and settled worlds.
+//! Common steps of scenarios: durations, job ids, initial simulations and checks of job states.
 
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -8,40 +8,41 @@
 use crate::deployment::job;
 use crate::simulation::Simulation;
 
-/// A duration in seconds.
+/// Returns a duration of whole seconds.
 pub fn secs(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
 
-/// A duration in milliseconds.
+/// Returns a duration of whole milliseconds.
 pub fn millis(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-/// The id of a job by its number.
+/// Returns the id of the job with a number.
 pub fn job_id(number: u32) -> String {
     format!("wk-{number:06}")
 }
 
-/// An array of one-CPU tasks of team red that awaits other jobs.
-pub fn dependent_job(number: u32, tasks: u32, awaits: &[u32]) -> JobSpec {
-    JobSpec { dependencies: awaits.iter().map(|number| job_id(*number)).collect(), ..job(number, tasks) }
+/// Returns an array job of team red with one-CPU tasks that depends on other jobs, given by their numbers.
+pub fn dependent_job(number: u32, tasks: u32, dependencies: &[u32]) -> JobSpec {
+    JobSpec { dependencies: dependencies.iter().map(|number| job_id(*number)).collect(), ..job(number, tasks) }
 }
 
-/// So many jobs in one state.
+/// Returns the states of `count` jobs that are all in one state, to compare with [`Simulation::job_states`].
 pub fn all_in_state(state: JobStatus, count: usize) -> Vec<Option<JobStatus>> {
     vec![Some(state); count]
 }
 
 impl Simulation {
-    /// Three nodes, and machines that a leader knows.
+    /// Starts three nodes and `machines` machines, and waits until a leader knows all machines.
     pub fn with_elected_leader(machines: usize) -> Simulation {
         let mut simulation = Simulation::new(machines);
         simulation.run(secs(6));
         simulation
     }
 
-    /// A settled world of three machines whose tasks take four seconds, and its leader.
+    /// Returns a simulation with an elected leader and three machines whose tasks take four seconds, and the
+    /// leader's number.
     pub fn with_short_tasks() -> (Simulation, usize) {
         let mut simulation = Simulation::new(3);
         simulation.task_duration_s = 4.0;
@@ -51,18 +52,18 @@
         (simulation, leader)
     }
 
-    /// What a node says of some jobs, one question after the other.
+    /// Asks a node for the states of the jobs with these numbers, one request after the other.
     pub fn job_states(&mut self, node: usize, jobs: RangeInclusive<u32>) -> Vec<Option<JobStatus>> {
         jobs.map(|number| self.job_state(node, &job_id(number))).collect()
     }
 
-    /// Cancels a job at a node, which must tell so.
+    /// Cancels a job at a node, and asserts that the node confirms it.
     pub fn cancel_and_confirm(&mut self, node: usize, id: &str) {
-        let told = self.cancel(node, id).and_then(|(_, view)| view).map(|view| view.state);
-        assert_eq!(told, Some(JobStatus::Cancelled), "{id} at node {node}");
+        let state = self.cancel(node, id).and_then(|(_, view)| view).map(|view| view.state);
+        assert_eq!(state, Some(JobStatus::Cancelled), "{id} at node {node}");
     }
 
-    /// Lets time pass until a report of the machine has just been answered, or given up.
+    /// Runs until the machine's worker has just got the response to a report, or given the report up.
     pub fn run_until_reported(&mut self, machine: &str) {
         for reporting in [true, false] {
             while self.workers[machine].pending_report.is_some() != reporting {
@@ -71,16 +72,16 @@
         }
     }
 
-    /// Lets so many seconds pass; the most direct calls that a node had outcomes of in one of them.
+    /// Runs for some seconds. Returns the largest number of direct calls of a node that completed in one of them.
     pub fn max_direct_calls_per_second(&mut self, node: usize, seconds: u64) -> u64 {
-        let outcomes =
-            |simulation: &Simulation| simulation.input_costs.get(&(node, "ordered")).map_or(0, |spent| spent.0);
-        let mut most = 0;
+        let completed =
+            |simulation: &Simulation| simulation.input_costs.get(&(node, "order response")).map_or(0, |cost| cost.0);
+        let mut max = 0;
         for _ in 0..seconds {
-            let before = outcomes(self);
+            let before = completed(self);
             self.run(secs(1));
-            most = most.max(outcomes(self) - before);
+            max = max.max(completed(self) - before);
         }
-        most
+        max
     }
 }
--- a/crates/testkit/src/simulation.rs
+++ b/crates/testkit/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The world: nodes, state service, cloud, workers and users under one clock.
+//! The simulation: controllers, state service, cloud, workers and users under one simulated clock.
 
 mod checks;
 mod machine_faults;
@@ -22,20 +22,30 @@
 use crate::worker::Worker;
 pub use machine_faults::{MachineFault, NetworkInterruption};
 
+/// Simulated time between two steps.
 const STEP: Duration = Duration::from_millis(10);
-const HOP: Duration = Duration::from_millis(3);
-/// What a watch may take beyond the time it waits, before its caller gives it up.
-const WATCH_SLACK: Duration = Duration::from_millis(1500);
+/// One-way latency of a message.
+const NETWORK_LATENCY: Duration = Duration::from_millis(3);
+/// Time after the end of its wait at which the caller of a watch gives it up.
+const WATCH_TIMEOUT_SLACK: Duration = Duration::from_millis(1500);
 
+/// Something that happens at a scheduled time.
 enum Event {
+    /// A node receives an input, unless its process was restarted in between.
     ToNode { node: usize, incarnation: u64, input: Box<Input> },
+    /// The state service executes an operation; `reply` says whether the response is delivered.
     Store { node: usize, incarnation: u64, call: CallId, op: StoreOp, reply: bool },
+    /// The cloud executes an operation.
     Cloud { node: usize, incarnation: u64, call: CallId, op: CloudOp, reply: bool },
+    /// A machine receives the orders of a direct call.
     Order { node: usize, incarnation: u64, call: CallId, machine: String, orders: Orders, reply: bool },
+    /// A node receives a worker's report. The `id` is 0 for a copy, whose response is dropped.
     Report { node: usize, machine: String, id: u64, report: Box<Report> },
-    ReportResponse { machine: String, id: u64, answer: HttpResponse },
+    /// A worker receives the response to its report.
+    ReportResponse { machine: String, id: u64, response: HttpResponse },
 }
 
+/// An open watch of a node.
 struct Watch {
     node: usize,
     incarnation: u64,
@@ -45,12 +55,14 @@
     until: Duration,
 }
 
+/// The process of one node; `node` is `None` while it is stopped.
 struct NodeProcess {
     node: Option<Node>,
     incarnation: u64,
     next_tick: Duration,
 }
 
+/// Who waits for the response to a request that a node received.
 enum Requester {
     User(u64, UserRequest),
     Worker { machine: String, id: u64 },
@@ -58,136 +70,140 @@
     Relay { node: usize, incarnation: u64, call: CallId },
 }
 
-/// Nodes, state service, cloud, workers and users under one clock.
+/// Controllers, state service, cloud, workers and users under one simulated clock.
+///
+/// Faults are injected by setting the public fields; [`Simulation::clear_faults`] ends them.
 pub struct Simulation {
     start: Instant,
-    /// The time since the world began.
+    /// Simulated time since the start.
     pub now: Duration,
-    /// The deployment's facts, as the first node sees them.
+    /// The facts of the deployment, as the first node has them.
     facts: Facts,
-    /// What nodes are told instead when they start next, as while settings are rolled out.
+    /// Facts by node that replace the deployment's facts at the node's next start, as during a rollout of settings.
     pub facts_overrides: BTreeMap<usize, Facts>,
-    /// Policies of nodes that start next and have another one than all, as another version does.
+    /// Policies by node that replace the common policy at the node's next start, as during a rollout of a version.
     pub policy_overrides: BTreeMap<usize, Policy>,
-    /// Time spent in the core, by node and kind of input.
+    /// Number of inputs that the core handled and the real time spent on them, by node and kind of input.
     pub input_costs: BTreeMap<(usize, &'static str), (u64, Duration)>,
     node_processes: Vec<NodeProcess>,
     policy: Policy,
-    /// The state service.
+    /// The fake state service.
     pub store: Store,
-    /// The cloud.
+    /// The fake cloud.
     pub cloud: Cloud,
-    /// Workers by machine.
+    /// The fake workers, by machine.
     pub workers: BTreeMap<String, Worker>,
     events: BTreeMap<(Duration, u64), Event>,
+    /// Last number given to an event, a request or a process.
     serial: u64,
     watches: Vec<Watch>,
     requesters: BTreeMap<(usize, RequestId), Requester>,
     responses: BTreeMap<u64, HttpResponse>,
-    /// Jobs that were submitted.
+    /// Specifications of the jobs that were submitted.
     pub specs: BTreeMap<String, JobSpec>,
-    /// Jobs that a user was told are cancelled, and when.
+    /// Jobs whose cancellation was confirmed to a user, with the time of the confirmation.
     pub cancelled: BTreeMap<String, Duration>,
-    /// Nodes cut off from the state service, or from all workers.
+    /// Nodes whose calls to the state service are refused as unavailable.
     pub partitioned_from_store: BTreeSet<usize>,
-    /// Nodes that no worker reaches.
+    /// Nodes that neither reach a worker nor are reached by one.
     pub partitioned_from_workers: BTreeSet<usize>,
-    /// Nodes that the other nodes do not reach, nor they them.
+    /// Nodes that neither reach another node nor are reached by one.
     pub partitioned_from_peers: BTreeSet<usize>,
-    /// Machines that no packet reaches or leaves.
+    /// Machines whose messages are lost in both directions.
     pub partitioned_machines: BTreeSet<String>,
-    /// Machines to which direct orders are held back until this time.
+    /// Time at which direct calls arrive at these machines; their callers have given them up by then.
     pub delayed_orders_until: BTreeMap<String, Duration>,
-    /// Machines whose reports are held back until this time, unanswered.
+    /// Time at which the reports of these machines arrive; the workers have given them up by then.
     pub delayed_reports_until: BTreeMap<String, Duration>,
-    /// Machines that nothing reaches, while their own messages arrive.
+    /// Machines that receive no message, while the messages they send arrive.
     pub lost_inbound: BTreeSet<String>,
-    /// Copies of these machines' reports come again this much later.
+    /// Delay after which copies of these machines' reports arrive at every node.
     pub duplicated_reports_after: BTreeMap<String, Duration>,
-    /// Links between a node and a machine that carry nothing.
+    /// Links between a node and a machine on which all messages are lost.
     pub partitioned_links: BTreeSet<(usize, String)>,
-    /// Nodes that hear of no change: their renewals are lost, their watches silent and
-    /// their peers out of reach, while their transactions pass.
+    /// Nodes that learn of no change: their lease renewals are lost, their watches return nothing and
+    /// their peers are out of reach, while their transactions are executed.
     pub nodes_without_updates: BTreeSet<usize>,
-    /// Transactions of these nodes take until this time, and are then answered.
+    /// Time at which the transactions of these nodes are executed and responded to.
     pub slow_txns_until: BTreeMap<usize, Duration>,
-    /// Transactions of these nodes are held back until a time, unanswered.
+    /// Time at which the transactions of these nodes are executed, after they timed out for the caller.
     pub timed_out_txns_until: BTreeMap<usize, Duration>,
-    /// Steps from one look at the rules to the next; a large fleet takes long to look at.
+    /// Steps between two checks of the invariants. A check takes long for a large fleet.
     pub steps_per_check: u32,
     steps: u32,
-    /// Direct orders under way by node, and the most that one had at a time.
+    /// Number of direct calls in flight, by node.
     open_direct_calls: BTreeMap<usize, usize>,
-    /// The most direct orders that a node had under way.
+    /// Largest number of direct calls that one node had in flight.
     pub peak_direct_calls: usize,
-    /// So many renewals of leases are lost.
+    /// Number of lease renewals at the state service that are still to be lost.
     pub renewals_to_lose: u32,
-    /// Lists of keys with this prefix are answered at this time.
+    /// Prefix of the list operations that are executed late, and the time at which they are.
     pub delayed_lists_until: Option<(&'static str, Duration)>,
-    /// Nodes whose watches hang while all their other calls pass.
+    /// Nodes whose watches hang, while all their other calls are executed.
     pub hung_watches: BTreeSet<usize>,
-    /// What these nodes read, compare and write in the store is carried out at once and answered
-    /// at this time.
+    /// Time at which the responses to these nodes' reads and transactions arrive; they are executed
+    /// at once.
     pub delayed_responses_until: BTreeMap<usize, Duration>,
-    /// Transactions of these nodes are carried out at once, and only their answers are lost.
+    /// Nodes whose transactions are executed at once, while the responses are lost.
     pub lost_txn_responses: BTreeSet<usize>,
-    /// Transactions that were carried out although their answers were lost.
+    /// Number of transactions that were committed although their responses were lost.
     pub commits_without_response: u32,
-    /// Machines to and from which packets are held back.
+    /// Machines whose network is interrupted.
     pub interruptions: BTreeMap<String, NetworkInterruption>,
-    /// Machines whose reports reach no controller, while commands reach them.
+    /// Machines whose reports are lost, while they receive direct calls.
     pub lost_reports: BTreeSet<String>,
-    /// Machines that hang until this time: nothing runs, nothing is sent or taken.
+    /// Time until which these machines are frozen: nothing runs, and nothing is sent or received.
     pub frozen_until: BTreeMap<String, Duration>,
-    /// A copy of each report is kept, and comes to every node so long after another one leads.
+    /// If set, each report is recorded and replayed to every node this long after the leader changes.
     pub replay_reports_after: Option<Duration>,
     recorded_reports: Vec<(String, Report)>,
-    /// Reports that came to a new leader from before its time.
+    /// Number of recorded reports that were replayed after a change of leader.
     pub replayed_reports: u64,
     last_leader: Option<(usize, u64)>,
-    /// Tokens under which any node ever led, and whether two did at a time.
+    /// Fencing tokens of all terms in which a node has led.
     pub terms: BTreeSet<u64>,
-    /// Two nodes held that they led at a time.
+    /// Whether two nodes ever held themselves to be the leader at the same time.
     pub had_two_leaders: bool,
-    /// What users were told.
+    /// Checks the responses that users receive.
     pub checker: Checker,
-    /// Tasks that began after their job's cancellation was confirmed.
+    /// Number of tasks that started after the cancellation of their job was confirmed.
     pub starts_after_cancel: u64,
-    /// Transactions that were applied after their caller had given them up.
+    /// Number of transactions that were committed after they timed out for the caller.
     pub late_commits: u32,
-    /// Rentals are carried out, but their answers are lost.
+    /// Whether the responses to rentals are lost, while the rentals are executed.
     pub lose_rental_responses: bool,
-    /// How long a rented machine takes to come up.
+    /// Time that a rented machine takes to boot.
     pub boot_time: Duration,
-    /// How long a task runs on a machine that comes up.
+    /// Duration of tasks, in seconds, on machines that boot from now on.
     pub task_duration_s: f64,
-    /// Tasks that failed on machines that fail all.
+    /// Number of tasks that failed on machines that fail all tasks.
     pub failed_tasks: u64,
-    /// Tasks that ever began to run.
+    /// Number of task starts.
     pub started_tasks: u64,
-    /// Reports handed from one node to another, and those of them with all their tasks.
+    /// Number of reports that a node relayed to another one.
     pub relayed_reports: u64,
-    /// Reports handed on with all their tasks.
+    /// Number of reports that were relayed with the full list of tasks.
     pub relayed_full_reports: u64,
-    /// Answers to relayed reports come at this time.
+    /// Time at which the responses to relayed reports arrive.
     pub delayed_relay_responses_until: Option<Duration>,
-    /// How busy the nodes' processors are, and how late their ticks come.
+    /// Processor load of nodes, as a share, and the delay of their ticks.
     pub processor_load: BTreeMap<usize, (f64, Duration)>,
+    /// Machines on which each task runs.
     running_on: BTreeMap<String, BTreeSet<String>>,
 }
 
 impl Simulation {
-    /// Three nodes, and `machines` ordinary machines that are up.
+    /// Starts three nodes and `machines` booted on-demand machines in one zone, with the default policy.
     pub fn new(machines: usize) -> Simulation {
         Simulation::with_policy(machines, Policy::default(), &["a"])
     }
 
-    /// Three nodes with a policy, and ordinary machines that are up in these zones.
+    /// Starts three nodes with a policy, and booted on-demand machines spread over the zones.
     pub fn with_policy(machines: usize, policy: Policy, zones: &[&str]) -> Simulation {
         Simulation::with_facts(facts(0, 3), machines, policy, zones)
     }
 
-    /// A deployment of three nodes with the given facts.
+    /// Starts three nodes with the given facts and policy, and booted on-demand machines spread over the zones.
     pub fn with_facts(facts: Facts, machines: usize, policy: Policy, zones: &[&str]) -> Simulation {
         let mut simulation = Simulation {
             start: Instant::now(),
@@ -271,14 +287,14 @@
         let incarnation = self.serial;
         let label = |n: usize| format!("node-{n}");
         let peers = (0..3).filter(|other| *other != n).map(label).collect();
-        let told = self.facts_overrides.get(&n).unwrap_or(&self.facts).clone();
-        let facts = Facts { label: label(n), peers, ..told };
+        let base = self.facts_overrides.get(&n).unwrap_or(&self.facts).clone();
+        let facts = Facts { label: label(n), peers, ..base };
         let policy = self.policy_overrides.get(&n).unwrap_or(&self.policy).clone();
         let node = Node::new(facts, policy, incarnation, self.clock());
         self.node_processes[n] = NodeProcess { node: Some(node), incarnation, next_tick: self.now };
     }
 
-    /// The process ends; what it had sent is still under way.
+    /// Stops a node's process. Messages that it has sent stay in flight.
     pub fn crash_node(&mut self, n: usize) {
         self.open_direct_calls.remove(&n);
         self.node_processes[n].node = None;
@@ -286,38 +302,41 @@
         self.requesters.retain(|(node, _), _| *node != n);
     }
 
+    /// The simulated clocks of the nodes.
     fn clock(&self) -> Now {
         Now { steady: self.start + self.now, wall_ms: 1_700_000_000_000 + self.now.as_millis() as u64 }
     }
 
-    /// The node that leads under the highest token.
+    /// Returns the leader; of several, the one with the highest fencing token.
     pub fn leader(&self) -> Option<usize> {
-        let leads =
+        let leaders =
             (0..self.node_processes.len()).filter_map(|n| Some((self.node_processes[n].node.as_ref()?.token()?, n)));
-        leads.max().map(|(_, n)| n)
+        leaders.max().map(|(_, n)| n)
     }
 
-    /// Whether a node's process runs.
+    /// Whether a node's process is running.
     pub fn is_node_running(&self, n: usize) -> bool {
         self.node_processes[n].node.is_some()
     }
 
-    /// The token under which a node leads.
+    /// Returns the fencing token of a node that leaders.
     pub fn leader_token(&self, n: usize) -> Option<u64> {
         self.node_processes[n].node.as_ref()?.token()
     }
 
+    /// Schedules an event.
     fn schedule(&mut self, at: Duration, event: Event) {
         self.serial += 1;
         self.events.insert((at, self.serial), event);
     }
 
+    /// Hands an input to a node and carries its outputs.
     fn deliver(&mut self, n: usize, input: Input) {
         let now = self.clock();
         let Some(node) = &mut self.node_processes[n].node else {
             return;
         };
-        let kind = kind_of(&input);
+        let kind = input_kind(&input);
         let began = Instant::now();
         let outputs = node.handle(now, input);
         let spent = self.input_costs.entry((n, kind)).or_default();
@@ -327,7 +346,7 @@
         }
     }
 
-    /// Lets time pass, checking the rules at each step.
+    /// Advances the simulated time, checking the invariants every `steps_per_check` steps.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -343,8 +362,8 @@
             for n in 0..self.node_processes.len() {
                 if self.node_processes[n].next_tick <= self.now {
                     self.node_processes[n].next_tick = self.now + Duration::from_millis(50);
-                    if let Some((share, late)) = self.processor_load.get(&n).copied() {
-                        self.deliver(n, Input::ProcessorLoad { share, tick_delay: late });
+                    if let Some((share, tick_delay)) = self.processor_load.get(&n).copied() {
+                        self.deliver(n, Input::ProcessorLoad { share, tick_delay });
                     }
                     self.deliver(n, Input::Tick);
                 }
@@ -359,38 +378,39 @@
         }
     }
 
+    /// Expires leases of the state service, and completes the watches that have changes or have ended.
     fn advance_watches(&mut self) {
         self.store.expire_leases(self.now);
         let now = self.now;
         let mut due = Vec::new();
         self.watches.retain(|watch| {
-            if now > watch.until + WATCH_SLACK {
+            if now > watch.until + WATCH_TIMEOUT_SLACK {
                 due.push((watch.node, watch.incarnation, watch.call, Outcome::Unknown));
                 return false;
             }
-            let waits = [&self.partitioned_from_store, &self.nodes_without_updates, &self.hung_watches]
+            let is_blocked = [&self.partitioned_from_store, &self.nodes_without_updates, &self.hung_watches]
                 .into_iter()
                 .any(|n| n.contains(&watch.node));
-            if waits || self.store.outage {
+            if is_blocked || self.store.outage {
                 return true;
             }
-            let answer = self.store.watch(&watch.prefix, watch.after).or_else(|| {
-                let none = rushyoke_wire::store::Changes { revision: watch.after, events: Vec::new() };
-                (watch.until <= now).then_some(StoreResponse::Changes(none))
+            let response = self.store.watch(&watch.prefix, watch.after).or_else(|| {
+                let no_changes = rushyoke_wire::store::Changes { revision: watch.after, events: Vec::new() };
+                (watch.until <= now).then_some(StoreResponse::Changes(no_changes))
             });
-            if let Some(answer) = answer {
-                due.push((watch.node, watch.incarnation, watch.call, Outcome::Responded(answer)));
+            if let Some(response) = response {
+                due.push((watch.node, watch.incarnation, watch.call, Outcome::Responded(response)));
                 return false;
             }
             true
         });
         for (node, incarnation, call, outcome) in due {
             let input = Box::new(Input::Store { call, outcome });
-            self.schedule(now + HOP, Event::ToNode { node, incarnation, input });
+            self.schedule(now + NETWORK_LATENCY, Event::ToNode { node, incarnation, input });
         }
     }
 
-    /// Notes who leads, and gives a new leader the reports that were kept for it.
+    /// Records which nodes lead, and replays the recorded reports when the leader has changed.
     fn observe_leaders(&mut self) {
         let tokens: Vec<u64> = (0..self.node_processes.len()).filter_map(|n| self.leader_token(n)).collect();
         self.had_two_leaders |= tokens.len() > 1;
@@ -400,7 +420,7 @@
             return;
         }
         let first = self.last_leader.is_none();
-        let at = self.now + HOP + self.replay_reports_after.unwrap_or_default();
+        let at = self.now + NETWORK_LATENCY + self.replay_reports_after.unwrap_or_default();
         self.last_leader = leader;
         for (machine, report) in std::mem::take(&mut self.recorded_reports).into_iter().filter(|_| !first) {
             self.replayed_reports += 1;
@@ -411,7 +431,7 @@
         }
     }
 
-    /// Ends all troubles.
+    /// Ends the injected faults: lost, delayed and duplicated messages, frozen machines, load and outages.
     pub fn clear_faults(&mut self) {
         self.partitioned_from_store.clear();
         self.partitioned_from_workers.clear();
@@ -446,7 +466,8 @@
     }
 }
 
-fn kind_of(input: &Input) -> &'static str {
+/// Name of an input's kind in `input_costs`.
+fn input_kind(input: &Input) -> &'static str {
     match input {
         Input::Submit { .. } => "submit",
         Input::Status { .. } => "status",
@@ -456,11 +477,11 @@
         Input::Peer { .. } => "peer",
         Input::Store { .. } => "store",
         Input::Cloud { .. } => "cloud",
-        Input::OrderResponse { .. } => "ordered",
-        Input::PeerResponse { .. } => "peer told",
+        Input::OrderResponse { .. } => "order response",
+        Input::PeerResponse { .. } => "peer response",
         Input::Relay { .. } => "relay",
-        Input::RelayResponse { .. } => "relay told",
-        Input::ProcessorLoad { .. } => "busy",
+        Input::RelayResponse { .. } => "relay response",
+        Input::ProcessorLoad { .. } => "processor load",
         Input::Tick => "tick",
     }
 }
--- a/crates/testkit/src/simulation/machine_faults.rs
+++ b/crates/testkit/src/simulation/machine_faults.rs
@@ -1,42 +1,42 @@
-//! The ways in which machines get out of the controllers' reach, and back.
+//! Fault injection for machines: the ways in which controllers lose contact with one, and its recovery.
 
 use std::time::Duration;
 
 use super::Simulation;
 
-/// What becomes of packets between the controllers and a machine while the network is interrupted.
+/// A temporary interruption of the network between the controllers and a machine.
 ///
-/// What its worker reports is held back and arrives afterwards, in the order in which it was sent; the worker
-/// has given it up by then, so that the answers are lost. What the controllers send over an open connection is
-/// held back in the same way, while a new connection cannot be opened.
+/// The worker's reports are delayed and arrive afterwards, in the order in which they were sent. The worker has
+/// given them up by then, so the responses are lost. What the controllers send over an open connection is
+/// delayed in the same way, while a new connection cannot be opened.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkInterruption {
-    /// When packets pass again.
+    /// When the interruption ends.
     pub until: Duration,
     /// Whether the controllers have connections to the machine that stay open.
-    pub connected: bool,
+    pub connections_open: bool,
 }
 
-/// How a machine is out of reach.
+/// A fault by which controllers lose contact with a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineFault {
-    /// The network is interrupted, with connections that stay open.
+    /// The network is interrupted, and the controllers' connections stay open.
     InterruptedWithOpenConnections,
-    /// The network is interrupted, and no connection is open.
+    /// The network is interrupted, and the controllers have no open connection.
     InterruptedWithoutConnections,
-    /// What is sent either way is lost.
+    /// Messages are lost in both directions.
     Partitioned,
-    /// Answers and commands to it are lost, its reports arrive.
+    /// Responses and orders to the machine are lost, while its reports arrive.
     InboundLost,
-    /// Its reports are lost, commands reach it.
+    /// The machine's reports are lost, while orders reach it.
     ReportsLost,
-    /// It stands still with all that is on it.
+    /// The machine is frozen, with all its tasks.
     Frozen,
-    /// Commands are held back, and carried out late.
+    /// Direct calls are delayed, and their orders carried out late.
     OrdersDelayed,
-    /// Reports are held back.
+    /// Reports are delayed.
     ReportsDelayed,
-    /// One controller alone does not reach it, nor it that one.
+    /// Messages between the machine and one controller are lost in both directions.
     LinkPartitioned {
         /// The controller.
         node: usize,
@@ -44,11 +44,12 @@
 }
 
 impl Simulation {
-    /// A machine gets out of reach for so long; [`Simulation::clear_fault`] ends what does not end by itself.
-    pub fn inject_fault(&mut self, machine: &str, how: MachineFault, lasts: Duration) {
-        let until = self.now + lasts;
+    /// Injects a fault into a machine. Interruptions and frozen machines recover after `duration`; the other
+    /// faults last until [`Simulation::clear_fault`], with delayed messages arriving after `duration`.
+    pub fn inject_fault(&mut self, machine: &str, fault: MachineFault, duration: Duration) {
+        let until = self.now + duration;
         let name = machine.to_owned();
-        match how {
+        match fault {
             MachineFault::InterruptedWithOpenConnections => self.interrupt_network(name, until, true),
             MachineFault::InterruptedWithoutConnections => self.interrupt_network(name, until, false),
             MachineFault::Partitioned => drop(self.partitioned_machines.insert(name)),
@@ -61,7 +62,7 @@
         }
     }
 
-    /// A machine is reached again.
+    /// Ends all faults of a machine.
     pub fn clear_fault(&mut self, machine: &str) {
         self.interruptions.remove(machine);
         self.partitioned_machines.remove(machine);
@@ -70,10 +71,10 @@
         self.frozen_until.remove(machine);
         self.delayed_orders_until.remove(machine);
         self.delayed_reports_until.remove(machine);
-        self.partitioned_links.retain(|(_, cut)| cut != machine);
+        self.partitioned_links.retain(|(_, partitioned)| partitioned != machine);
     }
 
-    fn interrupt_network(&mut self, machine: String, until: Duration, connected: bool) {
-        self.interruptions.insert(machine, NetworkInterruption { until, connected });
+    fn interrupt_network(&mut self, machine: String, until: Duration, connections_open: bool) {
+        self.interruptions.insert(machine, NetworkInterruption { until, connections_open });
     }
 }
--- a/crates/testkit/src/simulation/machines.rs
+++ b/crates/testkit/src/simulation/machines.rs
@@ -1,17 +1,18 @@
-//! Machines and their workers: they boot, run tasks and report.
+//! Machines and their workers: booting, running tasks and sending reports.
 
 use std::time::Duration;
 
 use rushyoke_wire::job::Kind;
 use rushyoke_wire::worker::Cause;
 
-use super::{Event, HOP, Simulation};
+use super::{Event, NETWORK_LATENCY, Simulation};
 use crate::worker::Worker;
 
-/// After this time a worker gives a report up.
-const REPORT_LIMIT: Duration = Duration::from_secs(4);
+/// Time after which a worker gives up a report.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
 
 impl Simulation {
+    /// Boots a rented machine and starts its worker.
     pub(super) fn boot_machine(&mut self, name: &str) {
         let rented = self.cloud.machines.get_mut(name).expect("rented");
         rented.booted = true;
@@ -20,11 +21,12 @@
         self.workers.insert(name.into(), worker);
     }
 
-    /// A machine stops with all that is on it and is back at once, its worker begun anew.
+    /// Reboots a machine at once: its tasks end, and a new worker starts.
     pub fn restart_worker(&mut self, name: &str) {
         self.boot_machine(name);
     }
 
+    /// Boots the rented machines whose boot time has passed.
     pub(super) fn boot_due_machines(&mut self) {
         let due: Vec<String> = self
             .cloud
@@ -40,27 +42,28 @@
         }
     }
 
+    /// Advances the workers' tasks and sends the reports that are due.
     pub(super) fn advance_workers(&mut self) {
         let (now, nodes) = (self.now, self.node_processes.len());
         let (lease, period) = (self.facts.worker_lease, self.facts.report_interval);
         let mut reports = Vec::new();
         self.frozen_until.retain(|_, until| *until > now);
-        self.interruptions.retain(|_, cut| cut.until > now);
+        self.interruptions.retain(|_, interruption| interruption.until > now);
         for worker in self.workers.values_mut().filter(|w| !self.frozen_until.contains_key(&w.name)) {
-            let service = |task: &str| {
+            let is_service = |task: &str| {
                 let id = task.split('/').next().unwrap_or_default();
                 self.specs.get(id).is_some_and(|s| s.kind == Kind::Service)
             };
-            let errors = worker.failed_tasks();
-            if worker.advance(now, lease, service) {
+            let failed_before = worker.failed_tasks();
+            if worker.advance(now, lease, is_service) {
                 for task in worker.tasks.iter().filter(|t| t.cause == Some(Cause::Done)) {
                     self.checker.record_finished_task(&task.name);
                 }
-                self.failed_tasks += worker.failed_tasks().saturating_sub(errors);
+                self.failed_tasks += worker.failed_tasks().saturating_sub(failed_before);
                 worker.next_report_at = worker.next_report_at.min(now + Duration::from_millis(500));
             }
             if let Some((_, sent, _)) = worker.pending_report
-                && now > sent + REPORT_LIMIT
+                && now > sent + REPORT_TIMEOUT
             {
                 worker.pending_report = None;
                 (worker.node, worker.next_report_at) = ((worker.node + 1) % nodes, now + Duration::from_secs(1));
@@ -86,17 +89,17 @@
                 if let (true, Event::Report { report, .. }) = (self.replay_reports_after.is_some(), &event) {
                     self.recorded_reports.push((machine.clone(), (**report).clone()));
                 }
-                let held_by_cut = self.interruptions.get(machine).map(|cut| cut.until);
-                let late = held_by_cut.or(self.delayed_reports_until.get(machine).copied());
-                let by = self.duplicated_reports_after.get(machine).copied();
-                if let (Some(by), Event::Report { machine, report, .. }) = (by, &event) {
-                    // A copy has no asker: its answer goes nowhere. It may come to any node.
+                let interrupted_until = self.interruptions.get(machine).map(|interruption| interruption.until);
+                let delayed_until = interrupted_until.or(self.delayed_reports_until.get(machine).copied());
+                let copy_delay = self.duplicated_reports_after.get(machine).copied();
+                if let (Some(copy_delay), Event::Report { machine, report, .. }) = (copy_delay, &event) {
+                    // A copy goes to every node, and nothing waits for the response to it.
                     let copies: Vec<Event> = (0..nodes)
                         .map(|node| Event::Report { node, machine: machine.clone(), id: 0, report: report.clone() })
                         .collect();
-                    copies.into_iter().for_each(|copy| self.schedule(now + by, copy));
+                    copies.into_iter().for_each(|copy| self.schedule(now + copy_delay, copy));
                 }
-                self.schedule(late.unwrap_or(now + HOP), event);
+                self.schedule(delayed_until.unwrap_or(now + NETWORK_LATENCY), event);
             }
         }
     }
--- a/crates/testkit/src/store.rs
+++ b/crates/testkit/src/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the state service.
+//! A fake state service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,76 +7,82 @@
 use rushyoke_wire::store::{Changes, Event, Item, Page, Txn, Write};
 use serde_json::Value;
 
-/// Changes that are kept for watches, unless a test wants fewer.
-const KEPT: usize = 10_000;
-const MAX_OPS: usize = 16;
-const MAX_VALUE: usize = 8 * 1024;
+/// Default number of changes kept for watches.
+const DEFAULT_LOG_EVENTS: usize = 10_000;
+/// Default limit of writes in a transaction.
+const DEFAULT_TXN_WRITES: usize = 16;
+/// Default limit of a value's size.
+const DEFAULT_VALUE_BYTES: usize = 8 * 1024;
 
-/// A stand-in for the state service.
+/// A fake state service, which keeps its keys in memory. Use beyond its limits fails the test.
 #[derive(Default)]
 pub struct Store {
-    /// Values, versions and leases by key.
+    /// Value, version and lease of each key.
     pub rows: BTreeMap<String, (Value, u64, Option<u64>)>,
-    /// Counts the changes.
+    /// Revision of the last change.
     pub revision: u64,
+    /// Changes with their revisions, oldest first.
     log: Vec<(u64, Event)>,
-    /// Lease, its life and its end.
+    /// Time to live and expiry time of each lease.
     leases: BTreeMap<u64, (Duration, Duration)>,
-    next_lease: u64,
-    /// It answers nobody.
+    /// Number of the lease granted last.
+    last_lease: u64,
+    /// Whether the service is unavailable.
     pub outage: bool,
-    /// Limits of a transaction's writes and of a value; what goes beyond fails the test.
+    /// Largest number of writes in a transaction; four times as many conditions are allowed.
     pub max_txn_writes: usize,
-    /// Bytes of a value; what goes beyond fails the test.
+    /// Largest size of a value, in bytes of JSON.
     pub max_value_bytes: usize,
-    /// A refused transaction names only the first key that failed.
+    /// Whether a refused transaction names only the first key whose condition failed.
     pub reports_one_failed_condition: bool,
-    /// Largest value and page sizes seen, for tests of limits.
+    /// Size of the largest value written so far.
     pub largest_value_bytes: usize,
-    /// Rows per page of a list.
+    /// Number of rows in a page of a list.
     pub page_size: usize,
-    /// Changes that are kept for watches.
+    /// Number of changes kept for watches; older ones are compacted.
     pub max_log_events: usize,
-    /// Puts and deletes carried out.
+    /// Number of puts and deletes executed.
     pub writes: u64,
-    /// Requests answered, watches apart.
+    /// Number of requests executed, without watches.
     pub requests: u64,
 }
 
 impl Store {
-    /// An empty store.
+    /// Returns an empty store.
     pub fn new() -> Store {
         Store {
             page_size: 1000,
-            max_log_events: KEPT,
-            max_txn_writes: MAX_OPS,
-            max_value_bytes: MAX_VALUE,
+            max_log_events: DEFAULT_LOG_EVENTS,
+            max_txn_writes: DEFAULT_TXN_WRITES,
+            max_value_bytes: DEFAULT_VALUE_BYTES,
             ..Store::default()
         }
     }
 
-    /// Ends leases that were not renewed; returns whether keys changed.
+    /// Expires the leases that were not renewed in time. Returns whether this deleted keys.
     pub fn expire_leases(&mut self, now: Duration) -> bool {
         if self.outage {
             return false;
         }
-        let due = |end: Duration| end <= now;
-        let ended: Vec<u64> = self.leases.iter().filter(|(_, (_, end))| due(*end)).map(|(l, _)| *l).collect();
+        let is_expired = |expires_at: Duration| expires_at <= now;
+        let expired: Vec<u64> =
+            self.leases.iter().filter(|(_, (_, expires_at))| is_expired(*expires_at)).map(|(l, _)| *l).collect();
         let before = self.revision;
-        for lease in ended {
+        for lease in expired {
             self.end_lease(lease);
         }
         self.revision > before
     }
 
-    /// It answers again, and all leases have their full time.
+    /// Ends an outage. All leases get their full time to live again.
     pub fn end_outage(&mut self, now: Duration) {
         self.outage = false;
-        for (life, end) in self.leases.values_mut() {
-            *end = now + *life;
+        for (ttl, expires_at) in self.leases.values_mut() {
+            *expires_at = now + *ttl;
         }
     }
 
+    /// Removes a lease and deletes its keys.
     fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let keys: Vec<String> =
@@ -89,13 +95,14 @@
         }
     }
 
+    /// Deletes a key at the current revision.
     fn delete(&mut self, key: &str) {
         if self.rows.remove(key).is_some() {
             self.log.push((self.revision, Event::Delete { key: key.into(), version: self.revision }));
         }
     }
 
-    /// The answer to a watch if there is something to tell.
+    /// Returns the response to a watch, if there are changes after the given revision or these were compacted.
     pub fn watch(&self, prefix: &str, after: u64) -> Option<StoreResponse> {
         if self.log.len() >= self.max_log_events && self.log.first().is_some_and(|(r, _)| *r > after + 1) {
             return Some(StoreResponse::Compacted);
@@ -113,7 +120,7 @@
         (!events.is_empty()).then_some(StoreResponse::Changes(Changes { revision, events }))
     }
 
-    /// Carries out a call.
+    /// Executes an operation.
     pub fn execute(&mut self, now: Duration, op: &StoreOp) -> StoreResponse {
         self.expire_leases(now);
         self.requests += 1;
@@ -141,14 +148,14 @@
             }
             StoreOp::Txn(txn) => self.txn(txn),
             StoreOp::NewLease { ttl_ms } => {
-                self.next_lease += 1;
-                let life = Duration::from_millis(*ttl_ms);
-                self.leases.insert(self.next_lease, (life, now + life));
-                StoreResponse::Lease(self.next_lease)
+                self.last_lease += 1;
+                let ttl = Duration::from_millis(*ttl_ms);
+                self.leases.insert(self.last_lease, (ttl, now + ttl));
+                StoreResponse::Lease(self.last_lease)
             }
             StoreOp::RenewLease(lease) => match self.leases.get_mut(lease) {
-                Some((life, end)) => {
-                    *end = now + *life;
+                Some((ttl, expires_at)) => {
+                    *expires_at = now + *ttl;
                     StoreResponse::LeaseOk
                 }
                 None => StoreResponse::NoSuchLease,
@@ -157,10 +164,11 @@
                 self.end_lease(*lease);
                 StoreResponse::LeaseOk
             }
-            StoreOp::Watch { .. } => unreachable!("watches are kept by the world"),
+            StoreOp::Watch { .. } => unreachable!("the simulation handles watches"),
         }
     }
 
+    /// Executes a transaction.
     fn txn(&mut self, txn: &Txn) -> StoreResponse {
         assert!(txn.writes.len() <= self.max_txn_writes, "too many writes in a transaction");
         assert!(txn.conditions.len() <= 4 * self.max_txn_writes, "too many conditions in a transaction");
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a worker.
+//! A fake worker.
 
 use std::time::Duration;
 
@@ -7,55 +7,56 @@
 /// A task on a worker.
 #[derive(Clone, Debug)]
 pub struct Task {
-    /// Its job and number.
+    /// Its name, made of the job's id and the task's number.
     pub name: String,
-    /// Which start of it this is.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// What it does.
+    /// Its current state.
     pub state: TaskState,
-    /// Why it has ended.
+    /// Why it has exited.
     pub cause: Option<Cause>,
-    /// When the present state ends by itself.
+    /// When it leaves its current state without an order.
     pub state_ends_at: Duration,
 }
 
-/// A stand-in for a worker on its machine.
+/// A fake worker on its machine.
 pub struct Worker {
     /// The machine's name.
     pub name: String,
-    /// Its zone.
+    /// The machine's zone.
     pub zone: String,
-    /// Whether the cloud may take it back.
+    /// Whether it is a spot machine, which the cloud may reclaim.
     pub spot: bool,
-    /// Its type.
+    /// Name of the machine's type.
     pub kind: String,
-    /// Counts the leases that have ended.
+    /// Number of the session; each expiry of the lease starts a new one.
     pub session: u64,
+    /// Number of the last report.
     seq: u64,
-    /// The highest token seen.
+    /// The highest fencing token seen.
     pub token: u64,
     /// All tasks on the machine.
     pub tasks: Vec<Task>,
-    /// When the last answered report was sent, or the session began.
+    /// Start of the lease: when the last report that got a response was sent, or when the session began.
     pub lease_start: Duration,
     /// The node that it reports to.
     pub node: usize,
     /// When it reports next.
     pub next_report_at: Duration,
-    /// Identity and sending time of the report that waits for an answer.
+    /// The report that waits for a response: its id, the time at which it was sent and its session.
     pub pending_report: Option<(u64, Duration, u64)>,
-    /// Every task that it starts fails.
+    /// Whether every task that it starts fails.
     pub fails_all_tasks: bool,
-    /// How long its tasks run.
+    /// Duration of its tasks, in seconds.
     pub task_duration_s: f64,
-    /// Seconds until the cloud takes it back, if it gave notice.
+    /// Seconds until the cloud reclaims the machine, if it gave notice.
     pub notice_s: Option<f64>,
-    /// How many times as long as others its tasks take.
+    /// Factor by which its tasks take longer than others.
     pub slowdown: f64,
 }
 
 impl Worker {
-    /// A worker that has just begun.
+    /// Returns a worker that has just started, without tasks.
     pub fn new(name: String, zone: String, spot: bool, kind: String, now: Duration) -> Worker {
         Worker {
             name,
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Its next report.
+    /// Returns its next report.
     pub fn report(&mut self) -> Report {
         self.seq += 1;
         Report {
@@ -104,13 +105,14 @@
         }
     }
 
-    /// Tasks listed as failed.
+    /// Returns the number of its tasks that failed.
     pub fn failed_tasks(&self) -> u64 {
         self.tasks.iter().filter(|t| t.cause == Some(Cause::Error)).count() as u64
     }
 
-    /// Lets time pass: images arrive, tasks end, the lease may run out.
-    pub fn advance(&mut self, now: Duration, lease: Duration, service: impl Fn(&str) -> bool) -> bool {
+    /// Advances to a time: fetches of images complete, tasks exit, and all tasks are dropped if the lease has
+    /// expired. Returns whether anything changed. Tasks for which `is_service` holds run until they are stopped.
+    pub fn advance(&mut self, now: Duration, lease: Duration, is_service: impl Fn(&str) -> bool) -> bool {
         let mut changed = false;
         if now > self.lease_start + lease {
             self.tasks.clear();
@@ -128,12 +130,12 @@
                 }
                 TaskState::Fetching => {
                     task.state = TaskState::Running;
-                    // Tasks of one job differ a little.
+                    // The durations of a job's tasks differ slightly.
                     let number: u32 = task.name.rsplit('/').next().and_then(|n| n.parse().ok()).unwrap_or(0);
-                    let run = Duration::from_secs_f64(
+                    let duration = Duration::from_secs_f64(
                         self.task_duration_s * self.slowdown * (1.0 + 0.03 * f64::from(number % 5)),
                     );
-                    task.state_ends_at = if service(&task.name) { Duration::MAX } else { now + run };
+                    task.state_ends_at = if is_service(&task.name) { Duration::MAX } else { now + duration };
                 }
                 TaskState::Running => (task.state, task.cause) = (TaskState::Exited, Some(Cause::Done)),
                 TaskState::Saving => (task.state, task.cause) = (TaskState::Exited, Some(Cause::Stopped)),
@@ -144,7 +146,7 @@
         changed
     }
 
-    /// An answer to a report; dropped if its token is too low.
+    /// Handles the response to a report. It is ignored if its token is too low or the session is over.
     pub fn handle_report_response(&mut self, now: Duration, sent: Duration, session: u64, orders: &Orders) {
         if orders.token < self.token || session != self.session {
             return;
@@ -154,7 +156,7 @@
         self.execute_orders(now, &orders.orders);
     }
 
-    /// Direct orders; the status of the answer.
+    /// Handles a direct call and returns the HTTP status of the response.
     pub fn handle_direct_call(&mut self, now: Duration, orders: &Orders) -> u16 {
         if orders.token < self.token || orders.session != Some(self.session) {
             return 409;
@@ -164,6 +166,7 @@
         200
     }
 
+    /// Starts, stops and forgets tasks as ordered.
     fn execute_orders(&mut self, now: Duration, orders: &[Order]) {
         for order in orders {
             match order {
@@ -171,8 +174,8 @@
                     if self.tasks.iter().any(|t| t.name == *task && t.attempt == *attempt) {
                         continue;
                     }
-                    let busy = self.tasks.iter().any(|t| t.name == *task && t.state != TaskState::Exited);
-                    let (state, cause) = if busy {
+                    let is_active = self.tasks.iter().any(|t| t.name == *task && t.state != TaskState::Exited);
+                    let (state, cause) = if is_active {
                         (TaskState::Exited, Some(Cause::AttemptConflict))
                     } else {
                         (TaskState::Fetching, None)
