--- a/crates/testkit/examples/loopback.rs
+++ b/crates/testkit/examples/loopback.rs
@@ -1,12 +1,12 @@
-//! Plays a fleet around the real program over loopback, in real time, and prints what the
-//! processes cost: processor time in their own code and in the kernel, memory, requests.
+//! Runs the real controllers against a fake fleet over loopback, in real time, and prints their resource
+//! usage: processor time in user mode and in the kernel, memory and requests.
 //!
 //!     cargo build --release
 //!     cargo run --release -p rushyoke-testkit --example loopback -- [SECONDS] [MACHINES] [LOAD] [TASK_S]
 //!
-//! `WRAP` names a program to start each controller with, `{}` standing for its label, such as
-//! `WRAP="strace -c -f -o /tmp/{}.calls"` or `WRAP="perf record -g -o /tmp/{}.perf"`; `PROGRAM` another
-//! build of the program, such as one with its symbols; `POLICY` the operators' file.
+//! Environment variables: `WRAP` is a command that starts each controller, with `{}` replaced by its label,
+//! such as `WRAP="strace -c -f -o /tmp/{}.calls"` or `WRAP="perf record -g -o /tmp/{}.perf"`. `PROGRAM` is
+//! another build of the controller, such as one with symbols. `POLICY` is a policy file.
 
 mod support;
 
@@ -18,9 +18,10 @@
 use support::{NODE_COUNT, Setup, Testbed};
 use tokio::time::sleep;
 
-async fn play(seconds: u64, machines: u32, load: f64, task_s: f64) {
+/// Runs the fleet for some seconds with `load` new jobs per second, printing the usage every 20 s.
+async fn run_load(seconds: u64, machines: u32, load: f64, task_s: f64) {
     let setup = Setup {
-        // A report each 1.5 s to about a thousand machines, fewer beyond: the stand-ins are one thread.
+        // A report each 1.5 s up to a thousand machines, fewer beyond: the fakes run on one thread.
         report_interval: Duration::from_millis(1500) * machines.div_ceil(1000),
         worker_lease: Duration::from_secs(20),
         task_duration_s: task_s,
@@ -35,13 +36,13 @@
     let mut nodes: Vec<Child> = (0..NODE_COUNT).map(|node| testbed.start_controller(node)).collect();
     sleep(Duration::from_secs(2)).await;
     let mut id = 0;
-    let mut due = 20.0;
-    let mut before = [(0.0, 0.0, 0.0); NODE_COUNT];
-    let mut counts = (0, 0, 0, 0);
+    let mut due_jobs = 20.0;
+    let mut last_usage = [(0.0, 0.0, 0.0); NODE_COUNT];
+    let mut last_counts = (0, 0, 0, 0);
     for second in 1..=seconds {
-        due += load;
-        while due >= 1.0 {
-            due -= 1.0;
+        due_jobs += load;
+        while due_jobs >= 1.0 {
+            due_jobs -= 1.0;
             id += 1;
             let spec = if id % 6 == 0 {
                 JobSpec { cpus: 2.0, ..service(id, 3) }
@@ -53,7 +54,7 @@
         sleep(Duration::from_secs(1)).await;
         if second % 20 == 0 {
             let requests = testbed.store.borrow().requests;
-            let now = (
+            let counts = (
                 testbed.report_count.get(),
                 testbed.direct_call_count.get(),
                 testbed.user_request_count.get(),
@@ -61,23 +62,23 @@
             );
             let rate = |now: u64, then: u64| (now - then) as f64 / 20.0;
             println!(
-                "{second:4} s, {} machines: a second {:.0} reports, {:.0} direct orders, {:.0} users' requests, {:.0} store",
+                "{second:4} s, {} machines: per second {:.0} reports, {:.0} direct calls, {:.0} user requests, {:.0} store requests",
                 testbed.workers.borrow().len(),
-                rate(now.0, counts.0),
-                rate(now.1, counts.1),
-                rate(now.2, counts.2),
-                rate(now.3, counts.3),
+                rate(counts.0, last_counts.0),
+                rate(counts.1, last_counts.1),
+                rate(counts.2, last_counts.2),
+                rate(counts.3, last_counts.3),
             );
-            counts = now;
+            last_counts = counts;
             for (node, child) in nodes.iter().enumerate() {
-                let (own, kernel, mb) = support::process_usage(child.id());
+                let (user, kernel, memory_mb) = support::process_usage(child.id());
                 let ms = |now: f64, then: f64| (now - then) * 1000.0 / 20.0;
                 println!(
-                    "       node-{node}: {:6.1} ms a second in its own code, {:6.1} in the kernel, {mb:.1} MB",
-                    ms(own, before[node].0),
-                    ms(kernel, before[node].1)
+                    "       node-{node}: {:6.1} ms per second in user mode, {:6.1} in the kernel, {memory_mb:.1} MB",
+                    ms(user, last_usage[node].0),
+                    ms(kernel, last_usage[node].1)
                 );
-                before[node] = (own, kernel, mb);
+                last_usage[node] = (user, kernel, memory_mb);
             }
         }
     }
@@ -90,5 +91,5 @@
     let machines = args.next().unwrap_or(337.0) as u32;
     let load = args.next().unwrap_or(0.6);
     let task_s = args.next().unwrap_or(30.0);
-    support::block_on(play(seconds, machines, load, task_s));
+    support::block_on(run_load(seconds, machines, load, task_s));
 }
--- a/crates/testkit/examples/spread.rs
+++ b/crates/testkit/examples/spread.rs
@@ -1,12 +1,12 @@
-//! Measures load spreading on loopback: a skewed burst on few machines of a fleet of stand-in workers
-//! around real controllers, with load spreading off and on in turn, several runs each.
+//! Measures rebalancing on loopback: a skewed burst on few machines of a fleet of fake workers with real
+//! controllers, with rebalancing off and on in turn, several runs each.
 //!
 //!     cargo build --release
 //!     cargo run --release -p rushyoke-testkit --example spread -- [RUNS] [MACHINES] [FOLDER]
 //!
-//! Writes `spread.json` and plots into FOLDER. A fifth of the machines is up when the burst comes and
-//! is filled by it; the others come up, idle, a little later. How far the fleet is from the best spread
-//! that is possible, with services left where they are, is told by a linear program.
+//! Writes `spread.json` and plots into FOLDER. A fifth of the machines is booted when the burst comes and
+//! is filled by it; the others boot, idle, a little later. A linear program computes how far the fleet is
+//! from the most even distribution that is possible without moving services.
 
 mod support;
 
@@ -25,128 +25,150 @@
 use support::{NODE_COUNT, Setup, Testbed};
 use tokio::time::sleep;
 
-/// CPUs of a machine, and so the tasks of one CPU that it holds.
+/// Number of CPUs of a machine, and so of one-CPU tasks that fit on it.
 const MACHINE_CPUS: usize = 16;
-const SERVICES: u32 = 6;
-const REPLICAS: u32 = 3;
-const BURST_JOB: u32 = 60;
-/// How long tasks of the burst run: none ends while it is watched.
+/// Number of services.
+const SERVICE_COUNT: u32 = 6;
+/// Number of tasks of a service.
+const TASKS_PER_SERVICE: u32 = 3;
+/// Number of tasks of a job of the burst.
+const TASKS_PER_BURST_JOB: u32 = 60;
+/// Duration of the burst's tasks: none ends during the observation.
 const TASK_S: f64 = 400.0;
-const SETTLED: Duration = Duration::from_secs(12);
-/// From the burst until the others come up: longer than a burst may be held back.
-const CROWDED: Duration = Duration::from_secs(34);
-const WATCHED: Duration = Duration::from_secs(62);
-const TRICKLE: Duration = Duration::from_secs(5);
-const TRICKLE_TASKS: u32 = 4;
-/// The fleet counts as even when no more than this share of the tasks would have to be elsewhere for the
-/// best spread.
-const EVEN: f64 = 0.05;
+/// Time from the start of the controllers until the first job.
+const STARTUP_TIME: Duration = Duration::from_secs(12);
+/// Time from the burst until the other machines boot: longer than a burst may be held back.
+const CROWDED_TIME: Duration = Duration::from_secs(34);
+/// Time for which the fleet is observed after the other machines have booted.
+const OBSERVATION_TIME: Duration = Duration::from_secs(62);
+/// Time between two jobs of the other team during the observation.
+const TRICKLE_INTERVAL: Duration = Duration::from_secs(5);
+/// Number of tasks of such a job.
+const TASKS_PER_TRICKLE_JOB: u32 = 4;
+/// Largest share of the tasks that may have to move to the most even distribution for the fleet to count as
+/// even.
+const EVEN_DISTANCE_SHARE: f64 = 0.05;
 
-/// One look at the fleet.
+/// The evenness of the fleet at one moment.
 #[derive(Clone, Serialize)]
 struct Sample {
     at_s: f64,
+    /// Coefficient of variation of the machines' load.
     variation: f64,
+    /// Jain's index of the machines' load.
     jain: f64,
-    /// Tasks that would have to be elsewhere for the best spread, by the linear program.
+    /// Number of tasks that would have to move to the most even distribution, by the linear program.
     distance: f64,
 }
 
-/// What one run showed.
+/// The results of one run.
 #[derive(Serialize)]
 struct Run {
-    spreading: bool,
+    #[serde(rename = "spreading")]
+    rebalancing: bool,
     machines: usize,
     tasks: usize,
     samples: Vec<Sample>,
+    /// Time until the fleet was even and stayed so.
     even_after_s: Option<f64>,
     moves: usize,
-    most_moves_of_a_task: usize,
+    #[serde(rename = "most_moves_of_a_task")]
+    max_moves_per_task: usize,
     services_restarted: usize,
-    /// Jobs of the burst, and of the other team that come while work moves.
-    burst: Waits,
-    other_team: Waits,
+    /// Start times of the burst's jobs.
+    burst: StartTimes,
+    /// Start times of the other team's jobs, which arrive during the observation.
+    other_team: StartTimes,
     store_requests: u64,
     store_changes: u64,
     processor_s: f64,
 }
 
-/// From the submission of a team's jobs until all their tasks run.
+/// Times from the submission of a team's jobs until all tasks of a job run.
 #[derive(Serialize)]
-struct Waits {
+struct StartTimes {
     jobs: usize,
-    whole: usize,
+    /// Number of jobs of which all tasks ran.
+    #[serde(rename = "whole")]
+    started: usize,
     median_s: f64,
-    most_s: f64,
+    #[serde(rename = "most_s")]
+    max_s: f64,
 }
 
-impl Waits {
-    fn of(jobs: usize, mut waited: Vec<f64>) -> Waits {
-        waited.sort_by(f64::total_cmp);
-        let median_s = waited.get(waited.len() / 2).copied().unwrap_or(f64::NAN);
-        Waits { jobs, whole: waited.len(), median_s, most_s: waited.last().copied().unwrap_or(f64::NAN) }
+impl StartTimes {
+    fn of(jobs: usize, mut times_s: Vec<f64>) -> StartTimes {
+        times_s.sort_by(f64::total_cmp);
+        let median_s = times_s.get(times_s.len() / 2).copied().unwrap_or(f64::NAN);
+        StartTimes { jobs, started: times_s.len(), median_s, max_s: times_s.last().copied().unwrap_or(f64::NAN) }
     }
 }
 
-/// Running tasks on each machine that is up: those that may move, and services.
+/// Numbers of running tasks on a machine: those that may move, and those of services.
 #[derive(Default, Clone)]
 struct Load {
     movable: usize,
     fixed: usize,
 }
 
-/// Where each task runs, and how often that changed.
+/// Follows the machine of each task and the starts of the burst's jobs.
 #[derive(Default)]
-struct Paths {
-    on: BTreeMap<String, String>,
+struct TaskTracker {
+    /// Machine of each task.
+    machines: BTreeMap<String, String>,
+    /// Number of moves of each task.
     moves: BTreeMap<String, usize>,
-    /// When jobs of the burst were submitted, and how long until all their tasks ran.
+    /// When each job of the burst was submitted.
     submitted: BTreeMap<String, Instant>,
-    whole_after_s: BTreeMap<String, f64>,
+    /// Time from its submission until all tasks of a job ran.
+    start_times_s: BTreeMap<String, f64>,
 }
 
-impl Paths {
-    fn look(&mut self, places: &BTreeMap<String, String>) {
-        for (task, machine) in places {
-            let before = self.on.insert(task.clone(), machine.clone());
-            if before.is_some_and(|before| before != *machine) {
+impl TaskTracker {
+    /// Records the current placements.
+    fn record(&mut self, placements: &BTreeMap<String, String>) {
+        for (task, machine) in placements {
+            let previous = self.machines.insert(task.clone(), machine.clone());
+            if previous.is_some_and(|previous| previous != *machine) {
                 *self.moves.entry(task.clone()).or_default() += 1;
             }
         }
         let mut running: BTreeMap<&str, u32> = BTreeMap::new();
-        for job in places.keys().filter_map(|task| task.split('/').next()) {
+        for job in placements.keys().filter_map(|task| task.split('/').next()) {
             *running.entry(job).or_default() += 1;
         }
         for (job, at) in &self.submitted {
-            if running.get(job.as_str()) == Some(&BURST_JOB) {
-                self.whole_after_s.entry(job.clone()).or_insert_with(|| at.elapsed().as_secs_f64());
+            if running.get(job.as_str()) == Some(&TASKS_PER_BURST_JOB) {
+                self.start_times_s.entry(job.clone()).or_insert_with(|| at.elapsed().as_secs_f64());
             }
         }
     }
 }
 
+/// Whether a task belongs to a service: services have the lowest job numbers.
 fn is_service(task: &str) -> bool {
     let id = task.trim_start_matches("wk-").split('/').next().and_then(|id| id.parse().ok()).unwrap_or(u32::MAX);
-    id < SERVICES
+    id < SERVICE_COUNT
 }
 
-/// Tasks that run now, with their machines.
-fn places(testbed: &Testbed) -> BTreeMap<String, String> {
-    let mut places = BTreeMap::new();
+/// Returns the running tasks with their machines.
+fn current_placements(testbed: &Testbed) -> BTreeMap<String, String> {
+    let mut placements = BTreeMap::new();
     for (name, worker) in testbed.workers.borrow().iter() {
         for task in worker.borrow().tasks.iter().filter(|task| task.state == TaskState::Running) {
-            places.insert(task.name.clone(), name.clone());
+            placements.insert(task.name.clone(), name.clone());
         }
     }
-    places
+    placements
 }
 
+/// Returns the load of each machine.
 fn loads(testbed: &Testbed) -> Vec<Load> {
     let mut loads: BTreeMap<String, Load> = BTreeMap::new();
     for name in testbed.workers.borrow().keys() {
         loads.insert(name.clone(), Load::default());
     }
-    for (task, machine) in places(testbed) {
+    for (task, machine) in current_placements(testbed) {
         let load = loads.entry(machine).or_default();
         if is_service(&task) {
             load.fixed += 1;
@@ -157,6 +179,7 @@
     loads.into_values().collect()
 }
 
+/// Computes the evenness of the fleet.
 fn sample(at: Duration, loads: &[Load]) -> Sample {
     let used: Vec<f64> = loads.iter().map(|load| (load.movable + load.fixed) as f64).collect();
     let count = used.len() as f64;
@@ -167,165 +190,175 @@
     Sample { at_s: at.as_secs_f64(), variation, jain, distance: distance(loads, mean) }
 }
 
-/// Sum of what machines hold above the mean, beyond the least that is possible: by a linear program over
-/// how many movable tasks each machine holds, within its room and with its services where they are.
+/// Returns the sum of the machines' loads above the mean, less the smallest sum that is possible. The latter
+/// is the solution of a linear program over the number of movable tasks on each machine, within its capacity
+/// and with its services where they are.
 fn distance(loads: &[Load], mean: f64) -> f64 {
     let mut problem: ProblemVariables = variables!();
     let movable: f64 = loads.iter().map(|load| load.movable as f64).sum();
-    let mut held = Vec::new();
-    let mut above = Vec::new();
+    let mut movable_tasks = Vec::new();
+    let mut excess = Vec::new();
     for load in loads {
-        held.push(problem.add(variable().min(0.0).max((MACHINE_CPUS - load.fixed.min(MACHINE_CPUS)) as f64)));
-        above.push(problem.add(variable().min(0.0)));
+        movable_tasks.push(problem.add(variable().min(0.0).max((MACHINE_CPUS - load.fixed.min(MACHINE_CPUS)) as f64)));
+        excess.push(problem.add(variable().min(0.0)));
     }
-    let total: Expression = above.iter().sum();
+    let total: Expression = excess.iter().sum();
     let mut model = problem.minimise(total.clone()).using(microlp);
-    for ((load, held), above) in loads.iter().zip(&held).zip(&above) {
-        model = model.with((*above - *held).geq(load.fixed as f64 - mean));
+    for ((load, tasks), excess) in loads.iter().zip(&movable_tasks).zip(&excess) {
+        model = model.with((*excess - *tasks).geq(load.fixed as f64 - mean));
     }
-    let all: Expression = held.iter().sum();
+    let all: Expression = movable_tasks.iter().sum();
     model = model.with(all.eq(movable));
     let best = model.solve().map_or(f64::NAN, |solution| solution.eval(&total));
-    let now: f64 = loads.iter().map(|load| ((load.movable + load.fixed) as f64 - mean).max(0.0)).sum();
-    now - best
+    let current: f64 = loads.iter().map(|load| ((load.movable + load.fixed) as f64 - mean).max(0.0)).sum();
+    current - best
 }
 
-async fn pass(testbed: &Testbed, paths: &mut Paths, time: Duration) {
+/// Waits for some time, recording the placements.
+async fn observe(testbed: &Testbed, tracker: &mut TaskTracker, time: Duration) {
     let until = Instant::now() + time;
     while Instant::now() < until {
         sleep(Duration::from_millis(250)).await;
-        paths.look(&places(testbed));
+        tracker.record(&current_placements(testbed));
     }
 }
 
-/// A job of the other team: how long until all its tasks run, if they do.
-async fn trickle(testbed: Rc<Testbed>, id: u32) -> Option<f64> {
-    let spec = JobSpec { team: "blue".into(), estimate_s: TASK_S, spot: false, ..job(id, TRICKLE_TASKS) };
+/// Submits a job of the other team. Returns the time until all its tasks run, if they do within 60 s.
+async fn start_time_of_job(testbed: Rc<Testbed>, id: u32) -> Option<f64> {
+    let spec = JobSpec { team: "blue".into(), estimate_s: TASK_S, spot: false, ..job(id, TASKS_PER_TRICKLE_JOB) };
     let name = spec.id.clone();
-    let began = Instant::now();
+    let started_at = Instant::now();
     tokio::task::spawn_local(testbed.clone().run_user(id as usize % NODE_COUNT, spec));
-    while began.elapsed() < Duration::from_secs(60) {
+    while started_at.elapsed() < Duration::from_secs(60) {
         sleep(Duration::from_millis(100)).await;
-        let running = places(&testbed).keys().filter(|task| task.split('/').next() == Some(&name)).count();
-        if running == TRICKLE_TASKS as usize {
-            return Some(began.elapsed().as_secs_f64());
+        let running = current_placements(&testbed).keys().filter(|task| task.split('/').next() == Some(&name)).count();
+        if running == TASKS_PER_TRICKLE_JOB as usize {
+            return Some(started_at.elapsed().as_secs_f64());
         }
     }
     None
 }
 
+/// Starts a user who submits a job.
 async fn submit(testbed: &Rc<Testbed>, spec: JobSpec, node: usize) {
     tokio::task::spawn_local(testbed.clone().run_user(node, spec));
     sleep(Duration::from_millis(40)).await;
 }
 
-/// Processor time of the controllers so far.
+/// Returns the processor time of the controllers so far.
 fn processor_s(nodes: &[Child]) -> f64 {
-    nodes.iter().map(|child| support::process_usage(child.id())).map(|(own, kernel, _)| own + kernel).sum()
+    nodes.iter().map(|child| support::process_usage(child.id())).map(|(user, kernel, _)| user + kernel).sum()
 }
 
-async fn play(setup: Setup, spreading: bool) -> Run {
+/// Executes one run.
+async fn run_once(setup: Setup, rebalancing: bool) -> Run {
     let machines = setup.capacity as usize;
-    let early = machines / 5;
-    let testbed = Testbed::start(setup, early as u32).await;
-    // The cloud has no more until the others come.
-    testbed.cloud.borrow_mut().capacity = early as u32;
+    let early_machines = machines / 5;
+    let testbed = Testbed::start(setup, early_machines as u32).await;
+    // The cloud has no more machines until the others boot.
+    testbed.cloud.borrow_mut().capacity = early_machines as u32;
     let mut nodes: Vec<Child> = (0..NODE_COUNT).map(|node| testbed.start_controller(node)).collect();
-    sleep(SETTLED).await;
-    for id in 0..SERVICES {
-        let spec = JobSpec { team: "green".into(), ..service(id, REPLICAS) };
+    sleep(STARTUP_TIME).await;
+    for id in 0..SERVICE_COUNT {
+        let spec = JobSpec { team: "green".into(), ..service(id, TASKS_PER_SERVICE) };
         submit(&testbed, spec, id as usize % NODE_COUNT).await;
     }
     sleep(Duration::from_secs(5)).await;
-    let room = early * MACHINE_CPUS - (SERVICES * REPLICAS) as usize;
-    let mut paths = Paths::default();
-    for id in 0..room as u32 / BURST_JOB {
-        let saves = JobSpec {
+    let free_cpus = early_machines * MACHINE_CPUS - (SERVICE_COUNT * TASKS_PER_SERVICE) as usize;
+    let mut tracker = TaskTracker::default();
+    for id in 0..free_cpus as u32 / TASKS_PER_BURST_JOB {
+        let spec = JobSpec {
             checkpoint_interval_s: 10.0,
             save_s: 0.5,
             estimate_s: TASK_S,
             spot: false,
-            ..job(100 + id, BURST_JOB)
+            ..job(100 + id, TASKS_PER_BURST_JOB)
         };
-        paths.submitted.insert(saves.id.clone(), Instant::now());
-        submit(&testbed, saves, id as usize % NODE_COUNT).await;
+        tracker.submitted.insert(spec.id.clone(), Instant::now());
+        submit(&testbed, spec, id as usize % NODE_COUNT).await;
     }
-    pass(&testbed, &mut paths, CROWDED).await;
-    let services: BTreeSet<(String, String)> =
-        places(&testbed).into_iter().filter(|(task, _)| is_service(task)).collect();
-    let (requests, changes) = (testbed.store.borrow().requests, testbed.store.borrow().revision);
-    let processor = processor_s(&nodes);
+    observe(&testbed, &mut tracker, CROWDED_TIME).await;
+    let services_before: BTreeSet<(String, String)> =
+        current_placements(&testbed).into_iter().filter(|(task, _)| is_service(task)).collect();
+    let (requests_before, changes_before) = (testbed.store.borrow().requests, testbed.store.borrow().revision);
+    let processor_before = processor_s(&nodes);
     {
         let mut cloud = testbed.cloud.borrow_mut();
         cloud.capacity = machines as u32;
         let now = testbed.now();
-        (early..machines).for_each(|n| drop(cloud.add_machine(now, ["a", "b", "c"][n % 3], false)));
+        (early_machines..machines).for_each(|n| drop(cloud.add_machine(now, ["a", "b", "c"][n % 3], false)));
     }
     while testbed.workers.borrow().len() < machines {
         sleep(Duration::from_millis(50)).await;
     }
-    let tasks = places(&testbed).len();
-    let began = Instant::now();
-    let (mut looks, mut waits) = (Vec::new(), Vec::new());
-    let mut next_trickle = Duration::ZERO;
-    while began.elapsed() < WATCHED {
-        let at = began.elapsed();
-        if at >= next_trickle {
-            next_trickle += TRICKLE;
-            waits.push(tokio::task::spawn_local(trickle(testbed.clone(), 1000 + waits.len() as u32)));
+    let tasks = current_placements(&testbed).len();
+    let started_at = Instant::now();
+    let (mut fleet_loads, mut other_jobs) = (Vec::new(), Vec::new());
+    let mut next_job_at = Duration::ZERO;
+    while started_at.elapsed() < OBSERVATION_TIME {
+        let at = started_at.elapsed();
+        if at >= next_job_at {
+            next_job_at += TRICKLE_INTERVAL;
+            other_jobs
+                .push(tokio::task::spawn_local(start_time_of_job(testbed.clone(), 1000 + other_jobs.len() as u32)));
         }
-        looks.push((at, loads(&testbed)));
-        pass(&testbed, &mut paths, Duration::from_secs(1)).await;
+        fleet_loads.push((at, loads(&testbed)));
+        observe(&testbed, &mut tracker, Duration::from_secs(1)).await;
     }
-    looks.push((began.elapsed(), loads(&testbed)));
-    let after: BTreeSet<(String, String)> = places(&testbed).into_iter().filter(|(task, _)| is_service(task)).collect();
-    let jobs = waits.len();
-    let mut waited = Vec::new();
-    for wait in waits {
-        waited.extend(wait.await.expect("a task of ours"));
+    fleet_loads.push((started_at.elapsed(), loads(&testbed)));
+    let services_after: BTreeSet<(String, String)> =
+        current_placements(&testbed).into_iter().filter(|(task, _)| is_service(task)).collect();
+    let jobs = other_jobs.len();
+    let mut other_times_s = Vec::new();
+    for other_job in other_jobs {
+        other_times_s.extend(other_job.await.expect("the task does not panic"));
     }
     let (store_requests, store_changes) =
-        (testbed.store.borrow().requests - requests, testbed.store.borrow().revision - changes);
-    let processor_s = processor_s(&nodes) - processor;
+        (testbed.store.borrow().requests - requests_before, testbed.store.borrow().revision - changes_before);
+    let processor_s = processor_s(&nodes) - processor_before;
     support::stop_controllers(&mut nodes);
-    // Solved when nothing waits for this thread any more.
-    let samples: Vec<Sample> = looks.iter().map(|(at, loads)| sample(*at, loads)).collect();
+    // The linear programs are solved after the run, since they would block this thread.
+    let samples: Vec<Sample> = fleet_loads.iter().map(|(at, loads)| sample(*at, loads)).collect();
     Run {
-        spreading,
+        rebalancing,
         machines,
         tasks,
         even_after_s: even_after(&samples, tasks),
         samples,
-        moves: paths.moves.values().sum(),
-        most_moves_of_a_task: paths.moves.values().copied().max().unwrap_or(0),
-        services_restarted: services.difference(&after).count(),
-        burst: Waits::of(paths.submitted.len(), paths.whole_after_s.into_values().collect()),
-        other_team: Waits::of(jobs, waited),
+        moves: tracker.moves.values().sum(),
+        max_moves_per_task: tracker.moves.values().copied().max().unwrap_or(0),
+        services_restarted: services_before.difference(&services_after).count(),
+        burst: StartTimes::of(tracker.submitted.len(), tracker.start_times_s.into_values().collect()),
+        other_team: StartTimes::of(jobs, other_times_s),
         store_requests,
         store_changes,
         processor_s,
     }
 }
 
-/// When the fleet was even and stayed so.
+/// Returns the time at which the fleet became even for the rest of the samples.
 fn even_after(samples: &[Sample], tasks: usize) -> Option<f64> {
-    let most = EVEN * tasks as f64;
-    let last_uneven = samples.iter().rposition(|sample| sample.distance > most);
+    let max_distance = EVEN_DISTANCE_SHARE * tasks as f64;
+    let last_uneven = samples.iter().rposition(|sample| sample.distance > max_distance);
     let first = last_uneven.map_or(0, |index| index + 1);
     samples.get(first).map(|sample| sample.at_s)
 }
 
+/// Prints the results of a run.
 fn print(run: &Run) {
     let first = &run.samples[0];
-    let last = run.samples.last().expect("the last look");
-    println!("spreading {}: {} machines, {} tasks", run.spreading, run.machines, run.tasks);
+    let last = run.samples.last().expect("a run has samples");
+    println!("rebalancing {}: {} machines, {} tasks", run.rebalancing, run.machines, run.tasks);
     println!("  Jain {:.3} -> {:.3}, variation {:.2} -> {:.2}", first.jain, last.jain, first.variation, last.variation);
-    println!("  tasks from the best spread {:.0} -> {:.0}", first.distance, last.distance);
-    println!("  even after {:?} s; {} moves, {} of a task", run.even_after_s, run.moves, run.most_moves_of_a_task);
+    println!("  tasks off the most even distribution {:.0} -> {:.0}", first.distance, last.distance);
+    println!(
+        "  even after {:?} s; {} moves, at most {} of a task",
+        run.even_after_s, run.moves, run.max_moves_per_task
+    );
     println!("  {} services restarted", run.services_restarted);
-    for (team, waits) in [("burst", &run.burst), ("other team", &run.other_team)] {
-        let Waits { jobs, whole, median_s, most_s } = waits;
-        println!("  {team}: {whole} of {jobs} jobs whole, median {median_s:.1} s, at most {most_s:.1} s");
+    for (team, times) in [("burst", &run.burst), ("other team", &run.other_team)] {
+        let StartTimes { jobs, started, median_s, max_s } = times;
+        println!("  {team}: {started} of {jobs} jobs started, median {median_s:.1} s, at most {max_s:.1} s");
     }
     println!(
         "  store: {} requests, {} changes; processor {:.2} s",
@@ -337,9 +370,9 @@
 fn plot(
     file: &Path,
     title: &str,
-    most: f64,
+    max: f64,
     runs: &[Run],
-    of: impl Fn(&Sample) -> f64,
+    measure: impl Fn(&Sample) -> f64,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let area = SVGBackend::new(file, (720, 360)).into_drawing_area();
     area.fill(&WHITE)?;
@@ -348,13 +381,13 @@
         .margin(10)
         .x_label_area_size(36)
         .y_label_area_size(44)
-        .build_cartesian_2d(0.0..WATCHED.as_secs_f64(), 0.0..most)?;
-    chart.configure_mesh().x_desc("seconds since the idle machines came up").draw()?;
-    for spreading in [false, true] {
-        let color = if spreading { BLUE } else { RED };
-        let label = if spreading { "load spreading on" } else { "load spreading off" };
-        for (n, run) in runs.iter().filter(|run| run.spreading == spreading).enumerate() {
-            let points = run.samples.iter().map(|sample| (sample.at_s, of(sample)));
+        .build_cartesian_2d(0.0..OBSERVATION_TIME.as_secs_f64(), 0.0..max)?;
+    chart.configure_mesh().x_desc("seconds since the idle machines booted").draw()?;
+    for rebalancing in [false, true] {
+        let color = if rebalancing { BLUE } else { RED };
+        let label = if rebalancing { "rebalancing on" } else { "rebalancing off" };
+        for (n, run) in runs.iter().filter(|run| run.rebalancing == rebalancing).enumerate() {
+            let points = run.samples.iter().map(|sample| (sample.at_s, measure(sample)));
             let line = chart.draw_series(LineSeries::new(points, &color))?;
             if n == 0 {
                 line.label(label).legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color));
@@ -366,10 +399,10 @@
     Ok(())
 }
 
-/// The operators' file of a run. Idle machines are kept in both, so that they are there to be used.
-fn policy(folder: &Path, spreading: bool) -> PathBuf {
-    let file = folder.join(format!("policy-{spreading}.yaml"));
-    let text = format!("headroom_machines: 1000\nservice_reserve: 0\nbalance:\n  enabled: {spreading}\n");
+/// Writes the policy file of a run. It keeps idle machines, so that tasks can move to them.
+fn policy(folder: &Path, rebalancing: bool) -> PathBuf {
+    let file = folder.join(format!("policy-{rebalancing}.yaml"));
+    let text = format!("headroom_machines: 1000\nservice_reserve: 0\nbalance:\n  enabled: {rebalancing}\n");
     std::fs::write(&file, text).expect("the folder can be written to");
     file
 }
@@ -381,9 +414,9 @@
     let folder = args.next().map_or(std::env::temp_dir(), PathBuf::from);
     std::fs::create_dir_all(&folder)?;
     let cpus = f64::from(machines) * MACHINE_CPUS as f64;
-    let mut done = Vec::new();
+    let mut results = Vec::new();
     for n in 0..runs * 2 {
-        let spreading = n % 2 == 1;
+        let rebalancing = n % 2 == 1;
         let setup = Setup {
             report_interval: Duration::from_millis(1500),
             worker_lease: Duration::from_secs(20),
@@ -393,17 +426,17 @@
             teams: vec![("red", cpus / 20.0, cpus), ("blue", cpus / 20.0, cpus), ("green", cpus / 20.0, cpus)],
             max_sockets: 1200.max(machines as usize * 3),
             max_memory_mb: 64.0 + f64::from(machines) / 8.0,
-            policy_file: Some(policy(&folder, spreading)),
+            policy_file: Some(policy(&folder, rebalancing)),
         };
-        let run = support::block_on(play(setup, spreading));
+        let run = support::block_on(run_once(setup, rebalancing));
         print(&run);
-        done.push(run);
+        results.push(run);
     }
-    serde_json::to_writer_pretty(std::fs::File::create(folder.join("spread.json"))?, &done)?;
-    plot(&folder.join("balance-jain.svg"), "Jain's index of use", 1.0, &done, |sample| sample.jain)?;
-    let most = done.iter().flat_map(|run| &run.samples).map(|sample| sample.distance).fold(0.0, f64::max);
+    serde_json::to_writer_pretty(std::fs::File::create(folder.join("spread.json"))?, &results)?;
+    plot(&folder.join("balance-jain.svg"), "Jain's index of load", 1.0, &results, |sample| sample.jain)?;
+    let max = results.iter().flat_map(|run| &run.samples).map(|sample| sample.distance).fold(0.0, f64::max);
     let file = folder.join("balance-distance.svg");
-    plot(&file, "Tasks away from the best spread", most, &done, |sample| sample.distance)?;
-    plot(&folder.join("balance-variation.svg"), "Coefficient of variation of use", 2.5, &done, |s| s.variation)?;
+    plot(&file, "Tasks off the most even distribution", max, &results, |sample| sample.distance)?;
+    plot(&folder.join("balance-variation.svg"), "Coefficient of variation of load", 2.5, &results, |s| s.variation)?;
     Ok(())
 }
--- a/crates/testkit/examples/support/mod.rs
+++ b/crates/testkit/examples/support/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet around the real program over loopback, in real time: the state service, the cloud and the
-//! workers are the stand-ins, the controllers are processes.
+//! A testbed on loopback, in real time: the controllers are real processes, while the state service, the
+//! cloud, the workers and the users are fakes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -28,71 +28,86 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// Controllers of a deployment.
+/// Number of controllers.
 pub const NODE_COUNT: usize = 3;
-/// For so long a worker waits for the answer to a report.
-const REPORT_LIMIT: Duration = Duration::from_secs(4);
-/// After this time a worker tries the next controller.
-const NEXT_NODE: Duration = Duration::from_secs(1);
+/// Time after which a worker gives up a report.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time after a failed report until a worker tries the next controller.
+const NEXT_NODE_DELAY: Duration = Duration::from_secs(1);
+/// Address of the fake state service.
 const STORE_ADDRESS: &str = "127.0.0.1:23790";
+/// Address of the fake cloud.
 const CLOUD_ADDRESS: &str = "127.0.0.1:23791";
 
-/// What a run is about.
+/// Settings of a run.
 #[derive(Clone)]
 pub struct Setup {
     /// Interval of workers' reports.
     pub report_interval: Duration,
-    /// Life of a worker's lease.
+    /// Duration of a worker's lease.
     pub worker_lease: Duration,
-    /// How long tasks run.
+    /// Duration of tasks, in seconds.
     pub task_duration_s: f64,
-    /// How long rented machines take to come up.
+    /// Time that a rented machine takes to boot.
     pub boot_time: Duration,
-    /// Machines that the cloud has.
+    /// Number of machines that the cloud can rent out.
     pub capacity: u32,
-    /// Teams with what they are guaranteed and may use at the most.
+    /// Teams, each with its guarantee and its limit in CPUs.
     pub teams: Vec<(&'static str, f64, f64)>,
-    /// Sockets and megabytes that each controller is granted.
+    /// Largest number of sockets of each controller.
     pub max_sockets: usize,
+    /// Largest memory of each controller.
     pub max_memory_mb: f64,
-    /// The operators' file, if there is one.
+    /// The policy file, if there is one.
     pub policy_file: Option<PathBuf>,
 }
 
-/// The stand-ins of one run.
+/// The fakes of one run.
 pub struct Testbed {
+    /// Settings of the run.
     pub setup: Setup,
     started_at: Instant,
+    /// The fake state service.
     pub store: RefCell<Store>,
+    /// Notified at each change of the store.
     changed: tokio::sync::Notify,
+    /// The fake cloud.
     pub cloud: RefCell<Cloud>,
+    /// The fake workers, by machine.
     pub workers: RefCell<BTreeMap<String, Rc<RefCell<Worker>>>>,
-    pub specs: RefCell<BTreeMap<String, JobSpec>>,
+    /// Specifications of the submitted arrays; tasks of all other jobs belong to services.
+    pub array_specs: RefCell<BTreeMap<String, JobSpec>>,
+    /// Number of reports that workers sent.
     pub report_count: Cell<u64>,
+    /// Number of direct calls that workers received.
     pub direct_call_count: Cell<u64>,
+    /// Number of requests that users sent.
     pub user_request_count: Cell<u64>,
-    /// Zones whose workers no packet reaches or leaves.
+    /// Zones whose workers lose all messages in both directions.
     pub partitioned_zones: RefCell<BTreeSet<String>>,
 }
 
-type Reply = Result<Response<Full<Bytes>>, Infallible>;
+/// What a handler of HTTP requests returns.
+type HandlerResult = Result<Response<Full<Bytes>>, Infallible>;
 
-fn reply(status: u16, body: impl serde::Serialize) -> Response<Full<Bytes>> {
-    let body = Bytes::from(serde_json::to_vec(&body).expect("answers encode"));
+/// Returns a response with a JSON body.
+fn json_response(status: u16, body: impl serde::Serialize) -> Response<Full<Bytes>> {
+    let body = Bytes::from(serde_json::to_vec(&body).expect("responses encode"));
     Response::builder().status(status).body(Full::new(body)).expect("a fixed head")
 }
 
-/// Where users and workers reach a controller.
+/// Returns the address at which users and workers reach a controller.
 pub fn public_address(node: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 10 + node as u8], 8080))
 }
 
-/// Each machine has an address of its own.
+/// Returns the address of a machine's worker.
 fn machine_address(machine: &str) -> SocketAddr {
     let serial: u32 = machine.trim_start_matches("n-").parse().expect("a machine's name");
     SocketAddr::from(([127, 1, (serial / 250) as u8, (serial % 250 + 1) as u8], 9000))
 }
 
+/// Serves HTTP requests at an address with a handler.
 async fn serve<F, W>(addr: SocketAddr, testbed: Rc<Testbed>, handler: F)
 where
     F: Fn(Rc<Testbed>, Request<Incoming>) -> W + Clone + 'static,
@@ -105,21 +120,22 @@
         let (testbed, handler) = (testbed.clone(), handler.clone());
         tokio::task::spawn_local(async move {
             let service = service_fn(move |request| {
-                let answer = handler(testbed.clone(), request);
-                async move { Reply::Ok(answer.await) }
+                let response = handler(testbed.clone(), request);
+                async move { HandlerResult::Ok(response.await) }
             });
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
+/// Returns a parameter of the request's query, or an empty string.
 fn query(request: &Request<Incoming>, name: &str) -> String {
     let pairs = request.uri().query().unwrap_or_default().split('&').filter_map(|pair| pair.split_once('='));
     pairs.filter(|(key, _)| *key == name).map(|(_, value)| value.to_owned()).next().unwrap_or_default()
 }
 
 impl Testbed {
-    /// Stand-ins that serve from now on, and a cloud with so many machines already rented.
+    /// Starts the fakes, with a cloud that has already rented out some machines.
     pub async fn start(setup: Setup, machines: u32) -> Rc<Testbed> {
         let mut cloud = Cloud::new(&["a", "b", "c"]);
         cloud.capacity = setup.capacity;
@@ -131,7 +147,7 @@
             changed: tokio::sync::Notify::new(),
             cloud: RefCell::new(cloud),
             workers: RefCell::default(),
-            specs: RefCell::default(),
+            array_specs: RefCell::default(),
             report_count: Cell::new(0),
             direct_call_count: Cell::new(0),
             user_request_count: Cell::new(0),
@@ -144,14 +160,14 @@
         testbed
     }
 
-    /// Starts a controller's process, by `WRAP` and `PROGRAM` of the environment if they are set.
+    /// Starts a controller's process, with the environment variables `WRAP` and `PROGRAM` if they are set.
     pub fn start_controller(&self, node: usize) -> Child {
         let file = std::env::temp_dir().join(format!("rushyoke-loopback-{node}.toml"));
         std::fs::write(&file, settings(node, &self.setup)).expect("a file can be written");
         let wrap = std::env::var("WRAP").unwrap_or_default();
         let program = std::env::var("PROGRAM").unwrap_or("target/release/rushyoke".into());
-        let line = wrap.replace("{}", &format!("node-{node}"));
-        let mut words = line.split_whitespace().chain([program.as_str(), "--config"]);
+        let command_line = wrap.replace("{}", &format!("node-{node}"));
+        let mut words = command_line.split_whitespace().chain([program.as_str(), "--config"]);
         let mut command = Command::new(words.next().expect("a program"));
         command.args(words).arg(&file);
         if let Some(policy) = &self.setup.policy_file {
@@ -160,35 +176,36 @@
         command.spawn().expect("the program is built (cargo build --release)")
     }
 
-    /// The time since the run began.
+    /// Returns the time since the start of the run.
     pub fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
 
+    /// Handles a request to the state service.
     async fn serve_store(self: Rc<Self>, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let path = request.uri().path().to_owned();
-        let (starts, since) = (query(&request, "starts"), query(&request, "since"));
+        let (prefix, since) = (query(&request, "starts"), query(&request, "since"));
         if path == "/changes" {
-            let wait = Duration::from_millis(query(&request, "block_ms").parse().unwrap_or(0));
-            let (after, until) = (since.parse().unwrap_or(0), Instant::now() + wait);
+            let time_limit = Duration::from_millis(query(&request, "block_ms").parse().unwrap_or(0));
+            let (after, until) = (since.parse().unwrap_or(0), Instant::now() + time_limit);
             loop {
                 let changed = self.changed.notified();
-                let answer = self.store.borrow().watch(&starts, after);
-                match answer {
-                    Some(StoreResponse::Changes(changes)) => return reply(200, changes),
-                    Some(_) => return reply(410, ()),
+                let response = self.store.borrow().watch(&prefix, after);
+                match response {
+                    Some(StoreResponse::Changes(changes)) => return json_response(200, changes),
+                    Some(_) => return json_response(410, ()),
                     None => {}
                 }
-                let left = until.saturating_duration_since(Instant::now());
-                if timeout(left, changed).await.is_err() {
-                    return reply(200, json!({"ledger": self.store.borrow().revision, "events": []}));
+                let remaining = until.saturating_duration_since(Instant::now());
+                if timeout(remaining, changed).await.is_err() {
+                    return json_response(200, json!({"ledger": self.store.borrow().revision, "events": []}));
                 }
             }
         }
         let parts: Vec<&str> = path.trim_start_matches('/').splitn(3, '/').collect();
         let lease = |n: usize| parts.get(n).and_then(|id| id.parse().ok()).unwrap_or(0);
         let op = match (request.method().as_str(), parts.as_slice()) {
-            ("GET", ["kv"]) => StoreOp::List { prefix: starts, after: since },
+            ("GET", ["kv"]) => StoreOp::List { prefix, after: since },
             ("GET", ["kv", ..]) => StoreOp::Get(path.trim_start_matches("/kv/").into()),
             ("DELETE", _) => StoreOp::EndLease(lease(1)),
             ("POST", ["leases", _, "touch"]) => StoreOp::RenewLease(lease(1)),
@@ -202,25 +219,26 @@
                 }
             }
         };
-        let (before, answer, after) = {
+        let (before, response, after) = {
             let mut store = self.store.borrow_mut();
             (store.revision, store.execute(self.now(), &op), store.revision)
         };
         if after > before {
             self.changed.notify_waiters();
         }
-        match answer {
-            StoreResponse::Item(Some(item)) => reply(200, item),
-            StoreResponse::Item(None) => reply(404, json!({"ledger": after})),
-            StoreResponse::Page(page) => reply(200, page),
-            StoreResponse::Committed(revision) => reply(200, Committed { revision }),
-            StoreResponse::ConditionsFailed(failed) => reply(409, Refused { failed }),
-            StoreResponse::Lease(lease) => reply(200, Lease { lease }),
-            StoreResponse::LeaseOk => reply(200, ()),
-            _ => reply(if path == "/txn" { 400 } else { 404 }, json!({"error": "no such lease"})),
+        match response {
+            StoreResponse::Item(Some(item)) => json_response(200, item),
+            StoreResponse::Item(None) => json_response(404, json!({"ledger": after})),
+            StoreResponse::Page(page) => json_response(200, page),
+            StoreResponse::Committed(revision) => json_response(200, Committed { revision }),
+            StoreResponse::ConditionsFailed(failed) => json_response(409, Refused { failed }),
+            StoreResponse::Lease(lease) => json_response(200, Lease { lease }),
+            StoreResponse::LeaseOk => json_response(200, ()),
+            _ => json_response(if path == "/txn" { 400 } else { 404 }, json!({"error": "no such lease"})),
         }
     }
 
+    /// Handles a request to the cloud.
     async fn serve_cloud(self: Rc<Self>, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let path = request.uri().path().to_owned();
         let since = query(&request, "since");
@@ -233,29 +251,29 @@
             _ if body.is_empty() => CloudOp::List { after: Some(since) },
             _ => CloudOp::Rent(serde_json::from_slice::<Rental>(&body).expect("a rental")),
         };
-        let answer = self.cloud.borrow_mut().execute(self.now(), &op);
+        let response = self.cloud.borrow_mut().execute(self.now(), &op);
         self.workers.borrow_mut().retain(|name, _| self.cloud.borrow().machines.contains_key(name));
-        match answer {
-            CloudResponse::Types(types) => reply(200, MachineTypes { types }),
-            CloudResponse::Rented(machines) => reply(200, MachineNames { machines }),
+        match response {
+            CloudResponse::Types(types) => json_response(200, MachineTypes { types }),
+            CloudResponse::Rented(machines) => json_response(200, MachineNames { machines }),
             CloudResponse::Listing(mut listing) => {
                 listing.machines.iter_mut().for_each(|m| m.addr = machine_address(&m.id).to_string());
-                reply(200, listing)
+                json_response(200, listing)
             }
-            CloudResponse::Released => reply(200, ()),
-            _ => reply(503, json!({"error": "no capacity"})),
+            CloudResponse::Released => json_response(200, ()),
+            _ => json_response(503, json!({"error": "no capacity"})),
         }
     }
 
-    /// Machines come up a while after they were rented.
+    /// Boots machines when their boot time has passed, and starts their workers.
     async fn boot_machines(self: Rc<Self>) {
         loop {
             let due: Vec<(String, String, bool, String)> = {
                 let now = self.now();
                 let mut cloud = self.cloud.borrow_mut();
-                let late =
+                let is_due =
                     |m: &&mut rushyoke_testkit::RentedMachine| !m.booted && now >= m.rented_at + self.setup.boot_time;
-                let due = cloud.machines.iter_mut().filter_map(|(name, m)| Some(name).zip(Some(m).filter(late)));
+                let due = cloud.machines.iter_mut().filter_map(|(name, m)| Some(name).zip(Some(m).filter(is_due)));
                 due.map(|(name, m)| {
                     m.booted = true;
                     (name.clone(), m.zone.clone(), m.spot, m.kind.clone())
@@ -267,9 +285,9 @@
                 worker.task_duration_s = self.setup.task_duration_s;
                 let worker = Rc::new(RefCell::new(worker));
                 self.workers.borrow_mut().insert(name.clone(), worker.clone());
-                let direct = worker.clone();
-                let orders = move |testbed: Rc<Testbed>, request: Request<Incoming>| {
-                    let worker = direct.clone();
+                let called_worker = worker.clone();
+                let handle_call = move |testbed: Rc<Testbed>, request: Request<Incoming>| {
+                    let worker = called_worker.clone();
                     async move {
                         testbed.direct_call_count.set(testbed.direct_call_count.get() + 1);
                         testbed.wait_if_partitioned(&worker).await;
@@ -278,10 +296,10 @@
                         let status = worker.borrow_mut().handle_direct_call(testbed.now(), &orders);
                         let mut report = worker.borrow_mut().report();
                         report.addr = machine_address(&report.machine).to_string();
-                        reply(status, report)
+                        json_response(status, report)
                     }
                 };
-                let server = tokio::task::spawn_local(serve(machine_address(&name), self.clone(), orders));
+                let server = tokio::task::spawn_local(serve(machine_address(&name), self.clone(), handle_call));
                 let testbed = self.clone();
                 tokio::task::spawn_local(async move {
                     testbed.send_reports(&name, worker).await;
@@ -292,89 +310,92 @@
         }
     }
 
+    /// Whether the worker's zone is partitioned.
     fn is_partitioned(&self, worker: &RefCell<Worker>) -> bool {
         self.partitioned_zones.borrow().contains(&worker.borrow().zone)
     }
 
-    /// A call to a worker that is cut off is never answered; its caller gives it up.
+    /// Never returns if the worker is partitioned, so that its caller gives the call up.
     async fn wait_if_partitioned(&self, worker: &RefCell<Worker>) {
         if self.is_partitioned(worker) {
             std::future::pending::<()>().await;
         }
     }
 
+    /// Advances a worker and sends its reports until its machine is released.
     async fn send_reports(self: &Rc<Self>, name: &str, worker: Rc<RefCell<Worker>>) {
-        let spread = name.bytes().last().map_or(0, usize::from) % NODE_COUNT;
-        let (mut node, mut kept, mut last) = (spread, None, Instant::now() - self.setup.report_interval);
-        // After a refusal the next node is tried soon, not after a whole interval.
-        let mut soon = None;
+        let first_node = name.bytes().last().map_or(0, usize::from) % NODE_COUNT;
+        let (mut node, mut connection, mut last_report) =
+            (first_node, None, Instant::now() - self.setup.report_interval);
+        // After a refusal the next node is tried soon, not after a whole report interval.
+        let mut retry_delay = None;
         while self.workers.borrow().contains_key(name) {
             sleep(Duration::from_millis(50)).await;
             let changed = {
                 let token = worker.borrow().token;
-                let specs = self.specs.borrow();
+                let specs = self.array_specs.borrow();
                 let is_service = |task: &str| task.split_once('/').is_some_and(|(id, _)| !specs.contains_key(id));
                 worker.borrow_mut().advance(self.now(), self.setup.worker_lease, is_service)
                     || token != worker.borrow().token
             };
-            let usual = if changed { Duration::from_millis(500) } else { self.setup.report_interval };
-            let wait = std::mem::take(&mut soon).unwrap_or(usual);
-            if last.elapsed() < wait {
-                sleep(wait - last.elapsed()).await;
+            let interval = if changed { Duration::from_millis(500) } else { self.setup.report_interval };
+            let delay = std::mem::take(&mut retry_delay).unwrap_or(interval);
+            if last_report.elapsed() < delay {
+                sleep(delay - last_report.elapsed()).await;
             }
-            last = Instant::now();
+            last_report = Instant::now();
             let (sent, session) = (self.now(), worker.borrow().session);
             let mut report = worker.borrow_mut().report();
             report.addr = machine_address(name).to_string();
             if self.is_partitioned(&worker) {
-                // Its lease runs out meanwhile.
-                while self.is_partitioned(&worker) && last.elapsed() < REPORT_LIMIT {
+                // Its lease may expire meanwhile.
+                while self.is_partitioned(&worker) && last_report.elapsed() < REPORT_TIMEOUT {
                     sleep(Duration::from_millis(50)).await;
                     worker.borrow_mut().advance(self.now(), self.setup.worker_lease, |_| false);
                 }
-                (node, kept, soon) = ((node + 1) % NODE_COUNT, None, Some(NEXT_NODE));
+                (node, connection, retry_delay) = ((node + 1) % NODE_COUNT, None, Some(NEXT_NODE_DELAY));
                 continue;
             }
             self.report_count.set(self.report_count.get() + 1);
-            match call(&mut kept, public_address(node), "POST", "/v1/report", &report, REPORT_LIMIT).await {
+            match call(&mut connection, public_address(node), "POST", "/v1/report", &report, REPORT_TIMEOUT).await {
                 Some((200, body)) => {
                     let orders: Orders = serde_json::from_slice(&body).expect("orders");
                     worker.borrow_mut().handle_report_response(self.now(), sent, session, &orders);
                 }
                 Some((421, body)) => {
-                    let other: ReportRedirect = serde_json::from_slice(&body).expect("a node");
-                    let named = other.report_to.and_then(|label| label.strip_prefix("node-")?.parse().ok());
-                    soon = Some(if named.is_some() { Duration::ZERO } else { NEXT_NODE });
-                    (node, kept) = (named.unwrap_or((node + 1) % NODE_COUNT), None);
+                    let redirect: ReportRedirect = serde_json::from_slice(&body).expect("a node");
+                    let named_node = redirect.report_to.and_then(|label| label.strip_prefix("node-")?.parse().ok());
+                    retry_delay = Some(if named_node.is_some() { Duration::ZERO } else { NEXT_NODE_DELAY });
+                    (node, connection) = (named_node.unwrap_or((node + 1) % NODE_COUNT), None);
                 }
                 _ => {
-                    soon = Some(NEXT_NODE);
-                    (node, kept) = ((node + 1) % NODE_COUNT, None);
+                    retry_delay = Some(NEXT_NODE_DELAY);
+                    (node, connection) = ((node + 1) % NODE_COUNT, None);
                 }
             }
         }
     }
 
-    /// A user submits a job and asks for its state until it is done.
+    /// Runs a user who submits a job and asks for its state until it is done.
     pub async fn run_user(self: Rc<Self>, node: usize, spec: JobSpec) {
         let id = spec.id.clone();
         if spec.checkpoint_interval_s >= 0.0 && spec.estimate_s > 0.0 {
-            self.specs.borrow_mut().insert(id.clone(), spec.clone());
+            self.array_specs.borrow_mut().insert(id.clone(), spec.clone());
         }
-        let mut kept = None;
+        let mut connection = None;
         let mut method = ("POST", "/api/jobs".to_owned());
         let mut body = serde_json::to_value(&spec).expect("jobs encode");
         loop {
             self.user_request_count.set(self.user_request_count.get() + 1);
             let (verb, path) = &method;
-            match call(&mut kept, public_address(node), verb, path, &body, Duration::from_secs(5)).await {
-                Some((200 | 201, answer)) if answer.windows(6).any(|w| w == b"\"done\"") && *verb == "GET" => {
-                    if serde_json::from_slice::<serde_json::Value>(&answer).is_ok_and(|v| v["status"] == "done") {
+            match call(&mut connection, public_address(node), verb, path, &body, Duration::from_secs(5)).await {
+                Some((200 | 201, response)) if response.windows(6).any(|w| w == b"\"done\"") && *verb == "GET" => {
+                    if serde_json::from_slice::<serde_json::Value>(&response).is_ok_and(|v| v["status"] == "done") {
                         return;
                     }
                 }
                 Some((200 | 201, _)) => {}
-                _ => kept = None,
+                _ => connection = None,
             }
             (method, body) = (("GET", format!("/api/jobs/{id}")), serde_json::Value::Null);
             sleep(Duration::from_secs(5)).await;
@@ -382,42 +403,43 @@
     }
 }
 
-/// A connection that is kept for the next call.
-pub type Kept = Option<SendRequest<Full<Bytes>>>;
+/// A connection that is kept for the next call, if there is one.
+pub type KeptConnection = Option<SendRequest<Full<Bytes>>>;
 
-/// A call; `None` if it was not answered in time.
+/// Calls an HTTP server. Returns the status and the body, or `None` if there was no response in time.
 pub async fn call(
-    kept: &mut Kept,
+    connection: &mut KeptConnection,
     addr: SocketAddr,
     verb: &str,
     path: &str,
     body: &impl serde::Serialize,
-    wait: Duration,
+    time_limit: Duration,
 ) -> Option<(u16, Bytes)> {
-    if kept.as_ref().is_none_or(|sender| sender.is_closed()) {
+    if connection.as_ref().is_none_or(|sender| sender.is_closed()) {
         let stream = timeout(Duration::from_secs(1), TcpStream::connect(addr)).await.ok()?.ok()?;
         let _ = stream.set_nodelay(true);
-        let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
-        tokio::task::spawn_local(connection);
-        *kept = Some(sender);
+        let (sender, driver) = handshake(TokioIo::new(stream)).await.ok()?;
+        tokio::task::spawn_local(driver);
+        *connection = Some(sender);
     }
-    let sender = kept.as_mut().expect("just made");
+    let sender = connection.as_mut().expect("connected above");
     let body = if verb == "GET" { Vec::new() } else { serde_json::to_vec(body).expect("requests encode") };
     let request = Request::builder().method(verb).uri(path).header("host", addr.to_string());
     let request = request.body(Full::new(Bytes::from(body))).expect("a fixed head");
-    let answer = async {
+    let response = async {
         sender.ready().await.ok()?;
         let response = sender.send_request(request).await.ok()?;
         let status = response.status().as_u16();
         Some((status, response.into_body().collect().await.ok()?.to_bytes()))
     };
-    let answer = timeout(wait, answer).await.ok().flatten();
-    if answer.is_none() {
-        *kept = None;
+    let response = timeout(time_limit, response).await.ok().flatten();
+    if response.is_none() {
+        *connection = None;
     }
-    answer
+    response
 }
 
+/// Returns the text of a controller's settings file.
 fn settings(node: usize, setup: &Setup) -> String {
     let mut text = format!(
         "label = \"node-{node}\"\nlocation = \"a\"\npublic_addr = \"{}\"\npeer_bind = \"127.0.0.{}:8081\"\n",
@@ -441,29 +463,30 @@
     text
 }
 
-/// Processor time in the program's own code and in the kernel, and memory, of a process and
-/// those that it started.
+/// Returns the processor time in user mode and in the kernel, in seconds, and the memory in MB of a process
+/// and its children.
 pub fn process_usage(pid: u32) -> (f64, f64, f64) {
     let children = std::fs::read_to_string(format!("/proc/{pid}/task/{pid}/children")).unwrap_or_default();
-    let of_children = children.split_whitespace().filter_map(|child| child.parse().ok()).map(process_usage);
+    let child_usages = children.split_whitespace().filter_map(|child| child.parse().ok()).map(process_usage);
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields: Vec<&str> = stat.rsplit(") ").next().unwrap_or_default().split(' ').collect();
     let ticks = |n: usize| fields.get(n).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0) / 100.0;
     let own = (ticks(11), ticks(12), fields.get(21).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0) * 4096.0 / 1e6);
-    of_children.fold(own, |sum, child| (sum.0 + child.0, sum.1 + child.1, sum.2.max(child.2)))
+    child_usages.fold(own, |sum, child| (sum.0 + child.0, sum.1 + child.1, sum.2.max(child.2)))
 }
 
-/// Ends the controllers. A tracer writes its summary when it is interrupted, not when it is killed.
+/// Stops the controllers. Of a controller that runs under a tracer, only the controller is sent the signal, so
+/// that the tracer exits by itself and writes its summary.
 pub fn stop_controllers(nodes: &mut [Child]) {
     for child in nodes {
-        let inner = std::fs::read_to_string(format!("/proc/{0}/task/{0}/children", child.id())).unwrap_or_default();
-        let pid = inner.split_whitespace().next().map_or(child.id().to_string(), str::to_owned);
+        let children = std::fs::read_to_string(format!("/proc/{0}/task/{0}/children", child.id())).unwrap_or_default();
+        let pid = children.split_whitespace().next().map_or(child.id().to_string(), str::to_owned);
         let _ = Command::new("kill").args(["-TERM", &pid]).status();
         let _ = child.wait();
     }
 }
 
-/// Runs to its end what is spawned on this thread; sockets are closed with it.
+/// Runs a future to its end on this thread. Tasks that it spawned end with it, and their sockets are closed.
 pub fn block_on<T>(run: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, run)
--- a/crates/testkit/examples/zones.rs
+++ b/crates/testkit/examples/zones.rs
@@ -1,11 +1,11 @@
-//! Measures zone failover on loopback: stand-in workers in three pretend zones around real controllers; one
-//! zone is cut off and restored, with failover off and on in turn, several runs each.
+//! Measures zone failover on loopback: real controllers with fake workers in three simulated zones. One zone
+//! is partitioned and restored, with failover off and on in turn, several runs each.
 //!
 //!     cargo build --release
 //!     cargo run --release -p rushyoke-testkit --example zones -- [RUNS] [MACHINES] [FOLDER]
 //!
 //! Writes `zones.json`, plots and a page, `zones.html`, into FOLDER. The fleet is four fifths full, so that
-//! without a third of it there is room for a part of the work only.
+//! without a third of it only a part of the work fits.
 
 mod support;
 
@@ -24,204 +24,241 @@
 use support::{NODE_COUNT, Setup, Testbed};
 use tokio::time::sleep;
 
+/// Number of CPUs of a machine.
 const MACHINE_CPUS: u32 = 16;
-const CUT_ZONE: &str = "b";
+/// The zone that is partitioned.
+const PARTITIONED_ZONE: &str = "b";
+/// Duration of tasks, in seconds: none ends during the observation.
 const TASK_S: f64 = 600.0;
-const LEASE: Duration = Duration::from_secs(12);
-const SETTLED: Duration = Duration::from_secs(12);
-const CUT: Duration = Duration::from_secs(40);
-const WATCHED: Duration = Duration::from_secs(90);
-const LOOK: Duration = Duration::from_millis(200);
-/// Tiers with their team, shares of the fleet's CPUs and tasks of a job.
+/// Duration of a worker's lease.
+const WORKER_LEASE: Duration = Duration::from_secs(12);
+/// Time from the start of the controllers until the first job.
+const STARTUP_TIME: Duration = Duration::from_secs(12);
+/// Time after which the zone is restored.
+const PARTITION_TIME: Duration = Duration::from_secs(40);
+/// Time for which the fleet is observed, from the partition on.
+const OBSERVATION_TIME: Duration = Duration::from_secs(90);
+/// Time between two samples.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
+/// The tiers: name, team, share of the fleet's CPUs and number of tasks of a job.
 const TIERS: [(&str, &str, f64, u32); 3] =
     [("production", "red", 0.05, 12), ("high", "blue", 0.25, 60), ("best effort", "green", 0.5, 60)];
 
-/// One look at the fleet.
+/// The running tasks at one moment.
 #[derive(Clone, Serialize)]
-struct Look {
+struct Sample {
     at_s: f64,
-    /// Tasks that run, by tier.
+    /// Number of running tasks, by tier.
     running: [usize; 3],
-    /// Tasks that began since the look before, by tier, and those among them in the zone that is cut.
-    began: [usize; 3],
-    began_in_zone: usize,
-    /// Tasks that run in two places.
+    /// Number of tasks that started since the previous sample, by tier.
+    #[serde(rename = "began")]
+    started: [usize; 3],
+    /// Number of those that started in the partitioned zone.
+    #[serde(rename = "began_in_zone")]
+    started_in_zone: usize,
+    /// Number of tasks that run on several machines.
     duplicates: usize,
 }
 
-/// What one run showed.
+/// The results of one run.
 #[derive(Serialize)]
 struct Run {
     failover: bool,
+    /// Number of submitted tasks, by tier.
     tasks: [usize; 3],
-    /// Seconds from the cut until each tier was whole again.
-    whole_after_s: [Option<f64>; 3],
-    /// Tasks that began anew, by tier, and the most often that one did.
-    begun_anew: [usize; 3],
-    most_of_a_task: usize,
-    /// Starts of a later tier in looks in which an earlier one was not whole, from the first start after the
-    /// leases ended.
-    later_tier_first: usize,
+    /// Seconds from the partition until all tasks of each tier ran again.
+    #[serde(rename = "whole_after_s")]
+    recovered_after_s: [Option<f64>; 3],
+    /// Number of restarts, by tier.
+    #[serde(rename = "begun_anew")]
+    restarts: [usize; 3],
+    /// Largest number of restarts of one task.
+    #[serde(rename = "most_of_a_task")]
+    max_restarts_per_task: usize,
+    /// Number of starts in a later tier while tasks of an earlier one were missing, counted from the first start
+    /// after the leases had expired.
+    #[serde(rename = "later_tier_first")]
+    out_of_order_starts: usize,
+    /// Sum of the samples' duplicates.
     duplicates: usize,
     store_changes: u64,
     cloud_machines: usize,
-    /// Processor time of the controllers from the cut on, and the memory of the largest.
+    /// Processor time of the controllers since the partition.
     processor_s: f64,
+    /// Memory of the largest controller.
     memory_mb: f64,
-    looks: Vec<Look>,
+    #[serde(rename = "looks")]
+    samples: Vec<Sample>,
 }
 
-/// The tier of a task by its job's number.
+/// Returns the tier of a task, which its job's number tells.
 fn tier_of(task: &str) -> usize {
     let number: usize = task.trim_start_matches("wk-").split('/').next().and_then(|n| n.parse().ok()).unwrap_or(0);
     (number / 1000).min(2)
 }
 
-/// Tasks that run now, with the machines on which they do and whether these are in the zone that is cut.
-fn places(testbed: &Testbed) -> BTreeMap<String, Vec<(String, bool)>> {
-    let mut places: BTreeMap<String, Vec<(String, bool)>> = BTreeMap::new();
+/// Returns the running tasks with their machines, and whether these are in the partitioned zone.
+fn current_placements(testbed: &Testbed) -> BTreeMap<String, Vec<(String, bool)>> {
+    let mut placements: BTreeMap<String, Vec<(String, bool)>> = BTreeMap::new();
     for (name, worker) in testbed.workers.borrow().iter() {
         let worker = worker.borrow();
         for task in worker.tasks.iter().filter(|task| task.state == TaskState::Running) {
-            places.entry(task.name.clone()).or_default().push((name.clone(), worker.zone == CUT_ZONE));
+            placements.entry(task.name.clone()).or_default().push((name.clone(), worker.zone == PARTITIONED_ZONE));
         }
     }
-    places
+    placements
 }
 
-/// Follows the fleet from look to look.
+/// Follows the fleet from sample to sample.
 #[derive(Default)]
-struct Watch {
-    runs: BTreeMap<String, String>,
-    begun: BTreeMap<String, usize>,
-    looks: Vec<Look>,
+struct FleetTracker {
+    /// Machine of each running task.
+    machines: BTreeMap<String, String>,
+    /// Number of starts of each task.
+    starts: BTreeMap<String, usize>,
+    samples: Vec<Sample>,
 }
 
-impl Watch {
-    fn look(&mut self, at: Duration, testbed: &Testbed) {
-        let mut look = Look { at_s: at.as_secs_f64(), running: [0; 3], began: [0; 3], began_in_zone: 0, duplicates: 0 };
-        let mut runs = BTreeMap::new();
-        for (task, on) in places(testbed) {
+impl FleetTracker {
+    /// Takes a sample.
+    fn sample(&mut self, at: Duration, testbed: &Testbed) {
+        let mut sample =
+            Sample { at_s: at.as_secs_f64(), running: [0; 3], started: [0; 3], started_in_zone: 0, duplicates: 0 };
+        let mut machines = BTreeMap::new();
+        for (task, placements) in current_placements(testbed) {
             let tier = tier_of(&task);
-            look.running[tier] += 1;
-            look.duplicates += usize::from(on.len() > 1);
-            let (machine, inside) = on.into_iter().next().expect("it runs somewhere");
-            if self.runs.get(&task) != Some(&machine) {
-                look.began[tier] += 1;
-                look.began_in_zone += usize::from(inside);
-                *self.begun.entry(task.clone()).or_default() += 1;
+            sample.running[tier] += 1;
+            sample.duplicates += usize::from(placements.len() > 1);
+            let (machine, is_in_zone) = placements.into_iter().next().expect("a running task has a machine");
+            if self.machines.get(&task) != Some(&machine) {
+                sample.started[tier] += 1;
+                sample.started_in_zone += usize::from(is_in_zone);
+                *self.starts.entry(task.clone()).or_default() += 1;
             }
-            runs.insert(task, machine);
+            machines.insert(task, machine);
         }
-        self.runs = runs;
-        self.looks.push(look);
+        self.machines = machines;
+        self.samples.push(sample);
     }
 }
 
+/// Starts a user who submits a job.
 async fn submit(testbed: &Rc<Testbed>, spec: JobSpec, node: usize) {
     tokio::task::spawn_local(testbed.clone().run_user(node, spec));
     sleep(Duration::from_millis(30)).await;
 }
 
-/// Submits the work of all tiers; how many tasks each has.
-async fn fill(testbed: &Rc<Testbed>, machines: u32) -> [usize; 3] {
+/// Submits the jobs of all tiers. Returns the number of tasks of each tier.
+async fn submit_all(testbed: &Rc<Testbed>, machines: u32) -> [usize; 3] {
     let mut tasks = [0; 3];
-    for (tier, (_, team, share, each)) in TIERS.into_iter().enumerate() {
-        let jobs = (f64::from(machines * MACHINE_CPUS) * share) as u32 / each;
+    for (tier, (_, team, share, job_tasks)) in TIERS.into_iter().enumerate() {
+        let jobs = (f64::from(machines * MACHINE_CPUS) * share) as u32 / job_tasks;
         for n in 0..jobs {
             let id = tier as u32 * 1000 + n;
-            let array = JobSpec { spot: false, estimate_s: TASK_S, ..job(id, each) };
+            let array = JobSpec { spot: false, estimate_s: TASK_S, ..job(id, job_tasks) };
             let spec = match tier {
-                0 => service(id, each),
+                0 => service(id, job_tasks),
                 1 => JobSpec { priority: Priority::High, ..array },
                 _ => JobSpec { priority: Priority::BestEffort, ..array },
             };
             submit(testbed, JobSpec { team: team.into(), ..spec }, n as usize % NODE_COUNT).await;
-            tasks[tier] += each as usize;
+            tasks[tier] += job_tasks as usize;
         }
     }
     tasks
 }
 
-/// Processor time of the controllers so far, and the memory of the largest.
-fn spent(nodes: &[Child]) -> (f64, f64) {
-    let each = nodes.iter().map(|child| support::process_usage(child.id()));
-    each.fold((0.0, 0.0), |(time, memory): (f64, f64), (own, kernel, mb)| (time + own + kernel, memory.max(mb)))
+/// Returns the processor time of the controllers so far, and the memory of the largest.
+fn usage(nodes: &[Child]) -> (f64, f64) {
+    let usages = nodes.iter().map(|child| support::process_usage(child.id()));
+    usages.fold((0.0, 0.0), |(time, memory): (f64, f64), (user, kernel, mb)| (time + user + kernel, memory.max(mb)))
 }
 
-async fn play(setup: Setup, failover: bool) -> Run {
+/// Executes one run.
+async fn run_once(setup: Setup, failover: bool) -> Run {
     let machines = setup.capacity;
     let testbed = Testbed::start(setup, machines).await;
     let mut nodes: Vec<Child> = (0..NODE_COUNT).map(|node| testbed.start_controller(node)).collect();
-    sleep(SETTLED).await;
-    let tasks = fill(&testbed, machines).await;
-    let filled = Instant::now();
-    while places(&testbed).len() < tasks.iter().sum() && filled.elapsed() < Duration::from_secs(40) {
-        sleep(LOOK).await;
+    sleep(STARTUP_TIME).await;
+    let tasks = submit_all(&testbed, machines).await;
+    let submitted_at = Instant::now();
+    while current_placements(&testbed).len() < tasks.iter().sum() && submitted_at.elapsed() < Duration::from_secs(40) {
+        sleep(SAMPLE_INTERVAL).await;
     }
-    let mut watch = Watch::default();
-    watch.look(Duration::ZERO, &testbed);
-    watch.begun.clear();
-    watch.looks.clear();
-    let changes = testbed.store.borrow().revision;
-    let before = spent(&nodes);
-    testbed.partitioned_zones.borrow_mut().insert(CUT_ZONE.into());
-    let began = Instant::now();
-    while began.elapsed() < WATCHED {
-        if began.elapsed() >= CUT {
+    let mut tracker = FleetTracker::default();
+    tracker.sample(Duration::ZERO, &testbed);
+    tracker.starts.clear();
+    tracker.samples.clear();
+    let changes_before = testbed.store.borrow().revision;
+    let usage_before = usage(&nodes);
+    testbed.partitioned_zones.borrow_mut().insert(PARTITIONED_ZONE.into());
+    let started_at = Instant::now();
+    while started_at.elapsed() < OBSERVATION_TIME {
+        if started_at.elapsed() >= PARTITION_TIME {
             testbed.partitioned_zones.borrow_mut().clear();
         }
-        sleep(LOOK).await;
-        watch.look(began.elapsed(), &testbed);
+        sleep(SAMPLE_INTERVAL).await;
+        tracker.sample(started_at.elapsed(), &testbed);
     }
-    let store_changes = testbed.store.borrow().revision - changes;
+    let store_changes = testbed.store.borrow().revision - changes_before;
     let cloud_machines = testbed.cloud.borrow().machines.len();
-    let after = spent(&nodes);
+    let usage_after = usage(&nodes);
     support::stop_controllers(&mut nodes);
-    let run = summary(failover, tasks, watch, store_changes, cloud_machines);
-    Run { processor_s: after.0 - before.0, memory_mb: after.1, ..run }
+    let run = summarize(failover, tasks, tracker, store_changes, cloud_machines);
+    Run { processor_s: usage_after.0 - usage_before.0, memory_mb: usage_after.1, ..run }
 }
 
-fn summary(failover: bool, tasks: [usize; 3], watch: Watch, store_changes: u64, cloud_machines: usize) -> Run {
-    let looks = watch.looks;
-    let broken = |tier: usize| looks.iter().position(|look| look.running[tier] < tasks[tier]);
-    let whole = |tier: usize| {
-        let from = broken(tier)?;
-        looks[from..].iter().find(|look| look.running[tier] == tasks[tier]).map(|look| look.at_s)
+/// Computes the results of a run, without the resource usage.
+fn summarize(
+    failover: bool,
+    tasks: [usize; 3],
+    tracker: FleetTracker,
+    store_changes: u64,
+    cloud_machines: usize,
+) -> Run {
+    let samples = tracker.samples;
+    let first_incomplete = |tier: usize| samples.iter().position(|sample| sample.running[tier] < tasks[tier]);
+    let recovered_after = |tier: usize| {
+        let from = first_incomplete(tier)?;
+        samples[from..].iter().find(|sample| sample.running[tier] == tasks[tier]).map(|sample| sample.at_s)
     };
-    let mut begun_anew = [0; 3];
-    for (task, times) in &watch.begun {
-        begun_anew[tier_of(task)] += times;
+    let mut restarts = [0; 3];
+    for (task, times) in &tracker.starts {
+        restarts[tier_of(task)] += times;
     }
-    let lapsed = looks.iter().position(|look| look.at_s > LEASE.as_secs_f64() && look.began.iter().sum::<usize>() > 0);
-    let mut later_tier_first = 0;
-    for pair in looks[lapsed.unwrap_or(looks.len())..].windows(2) {
-        let waits = |tier: usize| pair.iter().all(|look| look.running[tier] < tasks[tier]);
-        later_tier_first += (1..3).filter(|tier| (0..*tier).any(waits)).map(|tier| pair[1].began[tier]).sum::<usize>();
+    let first_restart = samples
+        .iter()
+        .position(|sample| sample.at_s > WORKER_LEASE.as_secs_f64() && sample.started.iter().sum::<usize>() > 0);
+    let mut out_of_order_starts = 0;
+    for pair in samples[first_restart.unwrap_or(samples.len())..].windows(2) {
+        let is_incomplete = |tier: usize| pair.iter().all(|sample| sample.running[tier] < tasks[tier]);
+        out_of_order_starts +=
+            (1..3).filter(|tier| (0..*tier).any(is_incomplete)).map(|tier| pair[1].started[tier]).sum::<usize>();
     }
     Run {
         failover,
         tasks,
-        whole_after_s: [whole(0), whole(1), whole(2)],
-        begun_anew,
-        most_of_a_task: watch.begun.values().copied().max().unwrap_or(0),
-        later_tier_first,
-        duplicates: looks.iter().map(|look| look.duplicates).sum(),
+        recovered_after_s: [recovered_after(0), recovered_after(1), recovered_after(2)],
+        restarts,
+        max_restarts_per_task: tracker.starts.values().copied().max().unwrap_or(0),
+        out_of_order_starts,
+        duplicates: samples.iter().map(|sample| sample.duplicates).sum(),
         store_changes,
         cloud_machines,
         processor_s: 0.0,
         memory_mb: 0.0,
-        looks,
+        samples,
     }
 }
 
+/// Plots one measure of all runs over time.
 fn plot(
     file: &Path,
     title: &str,
     runs: &[Run],
-    of: impl Fn(&Run, &Look) -> f64,
+    measure: impl Fn(&Run, &Sample) -> f64,
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let most = runs.iter().flat_map(|run| run.looks.iter().map(|look| of(run, look))).fold(1.0, f64::max);
+    let max = runs.iter().flat_map(|run| run.samples.iter().map(|sample| measure(run, sample))).fold(1.0, f64::max);
     let area = SVGBackend::new(file, (720, 300)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -229,18 +266,21 @@
         .margin(10)
         .x_label_area_size(36)
         .y_label_area_size(44)
-        .build_cartesian_2d(0.0..WATCHED.as_secs_f64(), 0.0..most)?;
-    chart.configure_mesh().x_desc("seconds since the cut; restored after 40").draw()?;
+        .build_cartesian_2d(0.0..OBSERVATION_TIME.as_secs_f64(), 0.0..max)?;
+    chart.configure_mesh().x_desc("seconds since the partition; restored after 40").draw()?;
     for run in runs {
         let color = if run.failover { BLUE } else { RED };
-        chart.draw_series(LineSeries::new(run.looks.iter().map(|look| (look.at_s, of(run, look))), &color))?;
+        chart.draw_series(LineSeries::new(
+            run.samples.iter().map(|sample| (sample.at_s, measure(run, sample))),
+            &color,
+        ))?;
     }
     area.present()?;
     Ok(())
 }
 
-/// A page with the table of all runs and the plots.
-fn page(folder: &Path, runs: &[Run], plots: &[&str]) -> std::io::Result<()> {
+/// Writes a page with the table of all runs and the plots.
+fn write_page(folder: &Path, runs: &[Run], plots: &[&str]) -> std::io::Result<()> {
     let seconds = |at: &Option<f64>| at.map_or("not in time".to_owned(), |at| format!("{at:.1}"));
     let mut drawings = Vec::new();
     for plot in plots {
@@ -252,7 +292,7 @@
             head { meta charset="utf-8"; title { "Zone failover on loopback" } }
             body style="font-family: sans-serif" {
                 h1 { "Zone failover on loopback" }
-                p { "Real controllers, stand-in workers in three pretend zones. Red: off, blue: on." }
+                p { "Real controllers, fake workers in three simulated zones. Red: off, blue: on." }
                 table border="1" cellpadding="4" {
                     tr {
                         th { "failover" } th { "whole after, s" } th { "begun anew" } th { "most of a task" }
@@ -261,10 +301,10 @@
                     @for run in runs {
                         tr {
                             td { (if run.failover { "on" } else { "off" }) }
-                            td { (run.whole_after_s.iter().map(seconds).collect::<Vec<_>>().join(", ")) }
-                            td { (format!("{:?}", run.begun_anew)) }
-                            td { (run.most_of_a_task) }
-                            td { (run.later_tier_first) }
+                            td { (run.recovered_after_s.iter().map(seconds).collect::<Vec<_>>().join(", ")) }
+                            td { (format!("{:?}", run.restarts)) }
+                            td { (run.max_restarts_per_task) }
+                            td { (run.out_of_order_starts) }
                             td { (run.duplicates) }
                             td { (run.store_changes) }
                             td { (format!("{:.2}", run.processor_s)) }
@@ -278,9 +318,10 @@
     std::fs::write(folder.join("zones.html"), page.into_string())
 }
 
+/// Writes the policy file of a run.
 fn policy(folder: &Path, failover: bool) -> PathBuf {
     let file = folder.join(format!("failover-{failover}.yaml"));
-    // Idle machines are kept, and none is rented ahead of need.
+    // Keeps idle machines, and rents none ahead of demand.
     let text = format!(
         "headroom_machines: 0\nheadroom_share: 0\nservice_reserve: 0\nidle_s: 3600\nfailover:\n  enabled: {failover}\n"
     );
@@ -296,12 +337,12 @@
     std::fs::create_dir_all(&folder)?;
     let cpus = f64::from(machines * MACHINE_CPUS);
     let teams: BTreeSet<&'static str> = TIERS.iter().map(|(_, team, ..)| *team).collect();
-    let mut done = Vec::new();
+    let mut results = Vec::new();
     for n in 0..runs * 2 {
         let failover = n % 2 == 1;
         let setup = Setup {
             report_interval: Duration::from_millis(1500),
-            worker_lease: LEASE,
+            worker_lease: WORKER_LEASE,
             task_duration_s: TASK_S,
             boot_time: Duration::from_secs(1),
             capacity: machines,
@@ -310,27 +351,33 @@
             max_memory_mb: 64.0 + f64::from(machines) / 8.0,
             policy_file: Some(policy(&folder, failover)),
         };
-        let run = support::block_on(play(setup, failover));
+        let run = support::block_on(run_once(setup, failover));
         println!(
-            "failover {failover}: {:?} tasks, whole after {:?} s, begun anew {:?}, later tier first {}, in two places {}",
-            run.tasks, run.whole_after_s, run.begun_anew, run.later_tier_first, run.duplicates
+            "failover {failover}: {:?} tasks, recovered after {:?} s, restarts {:?}, out-of-order starts {}, duplicates {}",
+            run.tasks, run.recovered_after_s, run.restarts, run.out_of_order_starts, run.duplicates
         );
-        done.push(run);
+        results.push(run);
     }
-    serde_json::to_writer_pretty(std::fs::File::create(folder.join("zones.json"))?, &done)?;
-    let missing =
-        |tier: usize| move |run: &Run, look: &Look| (run.tasks[tier] - look.running[tier].min(run.tasks[tier])) as f64;
+    serde_json::to_writer_pretty(std::fs::File::create(folder.join("zones.json"))?, &results)?;
+    let missing_tasks = |tier: usize| {
+        move |run: &Run, sample: &Sample| (run.tasks[tier] - sample.running[tier].min(run.tasks[tier])) as f64
+    };
     let plots = ["failover-production.svg", "failover-high.svg", "failover-best-effort.svg", "failover-returned.svg"];
     for (tier, (name, ..)) in TIERS.into_iter().enumerate() {
-        plot(&folder.join(plots[tier]), &format!("Tasks of the tier {name} that do not run"), &done, missing(tier))?;
+        plot(
+            &folder.join(plots[tier]),
+            &format!("Tasks of the tier {name} that do not run"),
+            &results,
+            missing_tasks(tier),
+        )?;
     }
-    let starts = |_: &Run, look: &Look| look.began_in_zone as f64;
+    let starts = |_: &Run, sample: &Sample| sample.started_in_zone as f64;
     plot(
         &folder.join(plots[3]),
-        "Tasks that begin in the zone that was cut, in each fifth of a second",
-        &done,
+        "Tasks that start in the partitioned zone, in each fifth of a second",
+        &results,
         starts,
     )?;
-    page(&folder, &done, &plots)?;
+    write_page(&folder, &results, &plots)?;
     Ok(())
 }
