--- a/crates/balance/src/balancer.rs
+++ b/crates/balance/src/balancer.rs
@@ -13,7 +13,7 @@
 use crate::record::{OpenMove, OpenMoves};
 use crate::resources::Resources;
 use crate::settings::Settings;
-use crate::shares::{BorrowRequest, FairShares};
+use crate::shares::{FairShares, PlacementRequest};
 use crate::{Name, TaskKey};
 
 /// A move times out when it has been in one state for this many booking timeouts; a single one would leave no
@@ -272,7 +272,7 @@
     }
 
     /// Whether a team may have one more task placed now.
-    pub fn may_place(&mut self, now: Instant, request: &BorrowRequest) -> bool {
+    pub fn may_place(&mut self, now: Instant, request: &PlacementRequest) -> bool {
         self.shares.may_place(now, &self.load, &self.settings, request)
     }
 
--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -31,7 +31,7 @@
 pub use record::{OpenMove, OpenMoves, PREFIX as RECORD_PREFIX, key as record_key};
 pub use resources::Resources;
 pub use settings::{Settings, SettingsError};
-pub use shares::{BorrowRequest, FairShares};
+pub use shares::{FairShares, PlacementRequest};
 
 /// The name of a job, machine, zone or team.
 pub type Name = Arc<str>;
--- a/crates/balance/src/load.rs
+++ b/crates/balance/src/load.rs
@@ -26,7 +26,7 @@
     /// Whether tasks may be moved to it.
     pub accepts_moves: bool,
     /// Resources that preemption keeps on it for a job.
-    pub claimed: Resources,
+    pub reserved: Resources,
 }
 
 /// A placed task, as the model counts it.
@@ -44,7 +44,7 @@
     accepts_moves: bool,
     used: Resources,
     starting: Resources,
-    claimed: Resources,
+    reserved: Resources,
     booked: Resources,
     departing: Resources,
     /// Its step in the index, and the utilization with which it was counted there.
@@ -53,7 +53,7 @@
 
 impl MachineLoad {
     fn allocated(&self) -> Resources {
-        self.used.plus(self.starting).plus(self.claimed).plus(self.booked)
+        self.used.plus(self.starting).plus(self.reserved).plus(self.booked)
     }
 
     fn utilization(&self) -> f64 {
@@ -211,7 +211,7 @@
             load.zone.as_ref() == Some(&info.zone)
                 && load.total == info.total
                 && load.accepts_moves == info.accepts_moves
-                && load.claimed == info.claimed
+                && load.reserved == info.reserved
         });
         if unchanged {
             return;
@@ -220,7 +220,7 @@
             load.zone = Some(info.zone);
             load.total = info.total;
             load.accepts_moves = info.accepts_moves;
-            load.claimed = info.claimed;
+            load.reserved = info.reserved;
         });
     }
 
--- a/crates/balance/src/shares.rs
+++ b/crates/balance/src/shares.rs
@@ -19,7 +19,7 @@
 
 /// A request to place one more task of a job, possibly beyond its team's guarantee.
 #[derive(Clone, Debug)]
-pub struct BorrowRequest<'a> {
+pub struct PlacementRequest<'a> {
     /// The job.
     pub job: &'a Name,
     /// The job's team.
@@ -77,7 +77,7 @@
         self.dominant_share(load, team, Resources::default()) / self.fair_share(team).max(f64::EPSILON)
     }
 
-    fn is_within_guarantee(&self, load: &LoadModel, request: &BorrowRequest) -> bool {
+    fn is_within_guarantee(&self, load: &LoadModel, request: &PlacementRequest) -> bool {
         let Some(team) = self.teams.get(request.team) else { return false };
         let after = load.team(request.team).all().plus(request.need);
         let limit = Resources { memory_gb: f64::INFINITY, ..team.guarantee };
@@ -86,7 +86,13 @@
 
     /// Whether one more task may be placed now. A job that is refused is held back and may ask again; after
     /// `max_hold` it is allowed in any case.
-    pub fn may_place(&mut self, now: Instant, load: &LoadModel, settings: &Settings, request: &BorrowRequest) -> bool {
+    pub fn may_place(
+        &mut self,
+        now: Instant,
+        load: &LoadModel,
+        settings: &Settings,
+        request: &PlacementRequest,
+    ) -> bool {
         let allowed = self.is_within_guarantee(load, request) || self.is_fair(load, settings, request);
         if allowed {
             self.held_since.remove(request.job);
@@ -100,7 +106,7 @@
         now.saturating_duration_since(since) >= settings.max_hold
     }
 
-    fn is_fair(&self, load: &LoadModel, settings: &Settings, request: &BorrowRequest) -> bool {
+    fn is_fair(&self, load: &LoadModel, settings: &Settings, request: &PlacementRequest) -> bool {
         if self.dominant_share(load, request.team, request.need) <= self.fair_share(request.team) {
             return true;
         }
--- a/crates/balance/tests/load.rs
+++ b/crates/balance/tests/load.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use rushyoke_balance::{BorrowRequest, FairShares, LoadModel, MachineInfo, Name, Resources, Settings, TaskKey};
+use rushyoke_balance::{FairShares, LoadModel, MachineInfo, Name, PlacementRequest, Resources, Settings, TaskKey};
 
 fn cpus(cpus: f64) -> Resources {
     Resources { cpus, gpus: 0.0, memory_gb: cpus * 2.0 }
@@ -17,7 +17,7 @@
 }
 
 fn machine(total: f64) -> MachineInfo {
-    MachineInfo { zone: name("a"), total: cpus(total), accepts_moves: true, claimed: Resources::default() }
+    MachineInfo { zone: name("a"), total: cpus(total), accepts_moves: true, reserved: Resources::default() }
 }
 
 /// Machines `m0` to `m3` of 16 CPUs each.
@@ -36,7 +36,7 @@
     load.mark_running(&key(0));
     assert_eq!(load.utilization("m0"), Some(0.25), "a running task is counted once");
     load.book(&m0, cpus(2.0));
-    load.set_machine(&m0, MachineInfo { claimed: cpus(2.0), ..machine(16.0) });
+    load.set_machine(&m0, MachineInfo { reserved: cpus(2.0), ..machine(16.0) });
     assert_eq!(load.utilization("m0"), Some(0.5));
     assert_eq!(load.zone("a").allocated, cpus(8.0));
     assert_eq!(load.team("red").used, cpus(4.0));
@@ -83,8 +83,8 @@
     FairShares::new([(name("red"), cpus(8.0)), (name("blue"), cpus(8.0))])
 }
 
-fn request<'a>(job: &'a Name, team: &'a str, run_s: f64) -> BorrowRequest<'a> {
-    BorrowRequest { job, team, need: cpus(1.0), run_s }
+fn request<'a>(job: &'a Name, team: &'a str, run_s: f64) -> PlacementRequest<'a> {
+    PlacementRequest { job, team, need: cpus(1.0), run_s }
 }
 
 #[test]
--- a/crates/balance/tests/moves.rs
+++ b/crates/balance/tests/moves.rs
@@ -56,7 +56,7 @@
     let mut balancer = Balancer::new(settings, [(name("red"), MACHINE)]);
     let mut fleet = Fleet { placements: BTreeMap::new(), remaining_s, fetch_s: 1.0 };
     for machine in ["m0", "m1", "m2", "m3"] {
-        let info = MachineInfo { zone: name("a"), total: MACHINE, accepts_moves: true, claimed: Resources::default() };
+        let info = MachineInfo { zone: name("a"), total: MACHINE, accepts_moves: true, reserved: Resources::default() };
         balancer.update_machine(&name(machine), info);
     }
     for task in 0..16 {
--- a/crates/core/src/failover.rs
+++ b/crates/core/src/failover.rs
@@ -37,8 +37,8 @@
     view.overdue += usize::from(overdue);
     view.unreachable += usize::from(unreachable);
     view.out_of_contact += usize::from(out);
-    view.ordinary += usize::from(!machine.spot);
-    view.ordinary_out_of_contact += usize::from(out && !machine.spot);
+    view.on_demand += usize::from(!machine.spot);
+    view.on_demand_out_of_contact += usize::from(out && !machine.spot);
     view.in_time += usize::from(in_time && !out);
     if out {
         view.tasks_out_of_contact += machine.tasks.len();
@@ -316,12 +316,12 @@
 
 /// Logs a change of a zone's state.
 fn log_transition(failover: &Failover, now: Instant, transition: &Transition) {
-    let Transition { zone, from, to, evidence, episode, took } = transition;
+    let Transition { zone, from, to, evidence, episode, since_first_sign } = transition;
     let settings = failover.settings();
     let tracked = failover.zone(zone);
     let penalty = tracked.map_or(0.0, |tracked| tracked.penalty(now, settings));
     let probation_s = tracked.map_or(0, |tracked| tracked.probation(settings).as_secs());
-    let took_ms = took.as_millis() as u64;
+    let took_ms = since_first_sign.as_millis() as u64;
     tracing::info!(zone, %from, %to, ?evidence, episode, took_ms, penalty, probation_s, "zone state");
 }
 
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -104,7 +104,7 @@
         if let Some(failover) = &mut self.failover {
             failover.forget_drain(name);
         }
-        self.destination_gone(name);
+        self.give_up_moves_to(name);
         self.renting.mark_gone(name, MIN_REMOVED_NAMES_KEPT.max(REMOVED_NAMES_KEPT_PER_MACHINE * self.machines.len()));
         self.scheduling_due = true;
     }
--- a/crates/core/src/fleet/survey.rs
+++ b/crates/core/src/fleet/survey.rs
@@ -64,13 +64,13 @@
         let sampled = self.survey.unresponsive;
         let unresponsive = MachineCounts {
             all: unresponsive.all.max(sampled.all),
-            ordinary: unresponsive.ordinary.max(sampled.ordinary),
+            on_demand: unresponsive.on_demand.max(sampled.on_demand),
         };
         // If only spot machines are unresponsive, the cloud has more likely reclaimed them.
         let is_large_share = |unresponsive: usize, up: usize| unresponsive * PARTITIONED_FLEET_DIVISOR > up;
         let partitioned = unresponsive.all >= MIN_PARTITIONED_MACHINES
             && is_large_share(unresponsive.all, up.all)
-            && (up.ordinary == 0 || is_large_share(unresponsive.ordinary, up.ordinary));
+            && (up.on_demand == 0 || is_large_share(unresponsive.on_demand, up.on_demand));
         if partitioned {
             if self.survey.partitioned_at.is_none() {
                 let (silent, of) = (unresponsive.all, up.all);
--- a/crates/core/src/fleet/tasks.rs
+++ b/crates/core/src/fleet/tasks.rs
@@ -77,7 +77,7 @@
         self.clear_placement(env, key, retry_at);
         let machine = self.machines.get_mut(&place.machine).expect("placed");
         machine.exited.insert((format!("{}/{}", key.0, key.1), place.attempt), key.clone());
-        self.close_if_over(&key.0);
+        self.close_if_ended(&key.0);
     }
 
     /// Clears the machine's failures from before the task was placed, and quarantines the other machines on which the
@@ -158,7 +158,7 @@
         self.note_placement_ended(now, key, retry_at > now);
         self.scheduling_due = true;
         self.note_progress(&key.0);
-        self.close_if_over(&key.0);
+        self.close_if_ended(&key.0);
     }
 
     /// Orders a task to stop on its machine. If its start was never sent, its placement just ends.
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -140,7 +140,7 @@
             return false;
         }
         let on_demand = !target.spot;
-        if round.borrows && !self.is_evacuating() && !self.may_borrow(now, name) {
+        if round.borrows && !self.is_evacuating() && !self.may_exceed_guarantee(now, name) {
             return false;
         }
         if on_demand {
@@ -330,4 +330,4 @@
 }
 
 /// How long resources that were freed by preemption stay claimed for the job.
-pub(crate) const CLAIM_DURATION: Duration = Duration::from_secs(12);
+pub(crate) const PREEMPTION_RESERVATION_DURATION: Duration = Duration::from_secs(12);
--- a/crates/core/src/preempt.rs
+++ b/crates/core/src/preempt.rs
@@ -10,7 +10,7 @@
 use crate::env::Env;
 use crate::fleet::{Machine, Reservation};
 use crate::jobs::*;
-use crate::place::{CLAIM_DURATION, meets_constraints};
+use crate::place::{PREEMPTION_RESERVATION_DURATION, meets_constraints};
 use crate::quota::Resources;
 use crate::term::Term;
 
@@ -98,7 +98,7 @@
                 let grace = if urgent || spec.checkpoint_interval_s == 0.0 { 0.0 } else { spec.save_s };
                 self.stop_task(env, &victim, task, grace);
             }
-            let until = env.steady() + CLAIM_DURATION;
+            let until = env.steady() + PREEMPTION_RESERVATION_DURATION;
             let machine = self.machines.get_mut(&plan.machine).expect("planned");
             machine.reservation =
                 Some(Reservation { job: name.clone(), resources: plan.freed, until, by_preemption: true });
--- a/crates/core/src/rebalance.rs
+++ b/crates/core/src/rebalance.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use rushyoke_balance::{
-    Balancer, BorrowRequest, Candidate, FleetView, GiveUpReason, MachineInfo, Move, MoveEnd, MoveState, OpenMove,
-    OpenMoves,
+    Balancer, Candidate, FleetView, GiveUpReason, MachineInfo, Move, MoveEnd, MoveState, OpenMove, OpenMoves,
+    PlacementRequest,
 };
 use rushyoke_wire::job::{Kind, Priority};
 use rushyoke_wire::worker::TaskState;
@@ -173,7 +173,7 @@
     }
 
     /// Gives up the moves to a machine that is gone.
-    pub fn destination_gone(&mut self, name: &Name) {
+    pub fn give_up_moves_to(&mut self, name: &Name) {
         let Some(balancer) = &mut self.balancer else { return };
         for key in balancer.remove_machine(name) {
             self.give_up_move(&key, GiveUpReason::DestinationGone);
@@ -191,11 +191,11 @@
     // Decisions of the balancer.
 
     /// Whether one more task of a job may be placed although its team is beyond its guarantee.
-    pub fn may_borrow(&mut self, now: Instant, name: &Name) -> bool {
+    pub fn may_exceed_guarantee(&mut self, now: Instant, name: &Name) -> bool {
         let job = &self.jobs[name];
         let Some(balancer) = &mut self.balancer else { return true };
         let need = Resources::of(&job.spec);
-        balancer.may_place(now, &BorrowRequest { job: name, team: &job.spec.team, need, run_s: job.mean_run_s })
+        balancer.may_place(now, &PlacementRequest { job: name, team: &job.spec.team, need, run_s: job.mean_run_s })
     }
 
     /// Whether a team has more than its fair share of the fleet.
@@ -215,12 +215,13 @@
         let now = env.steady();
         let Some(mut balancer) = self.balancer.take() else { return };
         for machine in self.machines.values() {
-            let claimed = machine.reservation.as_ref().filter(|claim| claim.by_preemption).map(|claim| claim.resources);
+            let reserved =
+                machine.reservation.as_ref().filter(|claim| claim.by_preemption).map(|claim| claim.resources);
             let info = MachineInfo {
                 zone: Name::from(machine.zone.as_str()),
                 total: if machine.up && machine.counts_as_capacity() { machine.total } else { Resources::default() },
                 accepts_moves: is_destination(machine, env),
-                claimed: claimed.unwrap_or_default(),
+                reserved: reserved.unwrap_or_default(),
             };
             balancer.update_machine(&machine.name, info);
         }
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -306,10 +306,10 @@
                 if !job.cancelled {
                     self.job_cancelled(env, name);
                 } else {
-                    self.close_if_over(name);
+                    self.close_if_ended(name);
                 }
             }
-            RecordState::Open => self.close_if_over(name),
+            RecordState::Open => self.close_if_ended(name),
         }
     }
 }
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -46,11 +46,11 @@
         for task in tasks {
             self.stop_task(env, name, task, 0.0);
         }
-        self.close_if_over(name);
+        self.close_if_ended(name);
     }
 
     /// Queues the end of a job to be written if the job is over.
-    pub fn close_if_over(&mut self, name: &Name) {
+    pub fn close_if_ended(&mut self, name: &Name) {
         let Some(job) = self.jobs.get(name) else {
             return;
         };
--- a/crates/core/src/recover/load.rs
+++ b/crates/core/src/recover/load.rs
@@ -235,7 +235,7 @@
             if self.jobs[&name].cancelled {
                 self.job_cancelled(env, &name);
             }
-            self.close_if_over(&name);
+            self.close_if_ended(&name);
         }
         self.machines_inherited = !self.machines.is_empty();
         let places: usize = self.jobs.values().map(|j| j.placements.len()).sum();
@@ -340,7 +340,7 @@
             }
         }
         if self.ready() {
-            self.close_if_over(&name);
+            self.close_if_ended(&name);
             self.scheduling_due = true;
         }
     }
--- a/crates/core/src/rent/releases.rs
+++ b/crates/core/src/rent/releases.rs
@@ -10,7 +10,7 @@
 use crate::fleet::{Machine, Reservation};
 use crate::io::*;
 use crate::jobs::*;
-use crate::place::{CLAIM_DURATION, meets_constraints};
+use crate::place::{PREEMPTION_RESERVATION_DURATION, meets_constraints};
 use crate::quota::Resources;
 use crate::term::Term;
 
@@ -128,7 +128,7 @@
             let spec = self.jobs[&job].spec.clone();
             if spec.kind == Kind::Service {
                 self.renting.move_budget -= 1.0;
-                let until = now + CLAIM_DURATION;
+                let until = now + PREEMPTION_RESERVATION_DURATION;
                 let claim =
                     Reservation { job: job.clone(), resources: Resources::of(&spec), until, by_preemption: true };
                 self.machines.get_mut(&target).expect("a target").reservation = Some(claim);
--- a/crates/core/src/speculate.rs
+++ b/crates/core/src/speculate.rs
@@ -67,7 +67,7 @@
         let need = Resources::of(&job.spec);
         let grace = if job.spec.checkpoint_interval_s > 0.0 { job.spec.save_s } else { 0.0 };
         let target = self.machines.get_mut(&best.target).expect("a candidate");
-        let until = now + crate::place::CLAIM_DURATION;
+        let until = now + crate::place::PREEMPTION_RESERVATION_DURATION;
         target.reservation = Some(Reservation { job: best.key.0.clone(), resources: need, until, by_preemption: true });
         self.stop_task(env, &best.key.0, best.key.1, grace);
     }
@@ -76,8 +76,8 @@
     fn update_levels(&mut self, env: &mut Env) -> usize {
         let mut performances: BTreeMap<Name, Performance> = BTreeMap::new();
         for (job, machines) in &self.speculation.finished {
-            for (machine, moments) in machines.iter().filter(|(_, m)| m.count >= MIN_RUNS_PER_TYPE) {
-                performances.entry(machine.clone()).or_default().insert(job.clone(), moments.mean());
+            for (machine, stats) in machines.iter().filter(|(_, m)| m.count >= MIN_RUNS_PER_TYPE) {
+                performances.entry(machine.clone()).or_default().insert(job.clone(), stats.mean());
             }
         }
         let names: Vec<Name> = performances.keys().cloned().collect();
--- a/crates/core/src/speculate/statistics.rs
+++ b/crates/core/src/speculate/statistics.rs
@@ -11,14 +11,14 @@
 
 /// Count, sum and sum of squares of the run times of finished tasks.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Moments {
+pub struct RunTimeStats {
     /// Number of run times added.
     pub count: u32,
     sum: f64,
     squares: f64,
 }
 
-impl Moments {
+impl RunTimeStats {
     /// Adds a run time.
     pub fn add(&mut self, run_s: f64) {
         self.count += 1;
@@ -27,7 +27,7 @@
     }
 
     /// Adds all run times of another instance.
-    pub fn merge(&mut self, other: &Moments) {
+    pub fn merge(&mut self, other: &RunTimeStats) {
         self.count += other.count;
         self.sum += other.sum;
         self.squares += other.squares;
@@ -234,7 +234,7 @@
 #[derive(Default)]
 pub(crate) struct Speculation {
     /// Run times by task type and machine. A level's cell merges those of its machines.
-    pub(super) finished: HashMap<Name, BTreeMap<Name, Moments>>,
+    pub(super) finished: HashMap<Name, BTreeMap<Name, RunTimeStats>>,
     /// Levels by machine, including machines that are gone, so that their run times stay in their cell.
     pub(super) levels: BTreeMap<Name, usize>,
     /// When the last period began.
@@ -254,10 +254,10 @@
 
     /// Returns the job's cell at each level, if it is usable.
     pub(super) fn cells(&self, job: &Name, levels: usize, minimum: u32) -> Vec<Option<Cell>> {
-        let mut merged = vec![Moments::default(); levels];
-        for (machine, moments) in self.finished.get(job).into_iter().flatten() {
+        let mut merged = vec![RunTimeStats::default(); levels];
+        for (machine, stats) in self.finished.get(job).into_iter().flatten() {
             let level = self.levels.get(machine).copied().unwrap_or(0).min(levels - 1);
-            merged[level].merge(moments);
+            merged[level].merge(stats);
         }
         merged.iter().map(|m| m.cell(minimum)).collect()
     }
--- a/crates/core/tests/esplash.rs
+++ b/crates/core/tests/esplash.rs
@@ -6,7 +6,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rushyoke_core::speculate::{
-    Cell, Moments, Performance, expected_gain_s, groups, levels, minimum_level, remaining_s, straggler_value,
+    Cell, Performance, RunTimeStats, expected_gain_s, groups, levels, minimum_level, remaining_s, straggler_value,
 };
 use rushyoke_testkit::{Simulation, job};
 use rushyoke_wire::job::JobStatus;
@@ -51,14 +51,14 @@
 
 #[test]
 fn cell_requires_enough_tasks_and_a_nonzero_deviation() {
-    let mut moments = Moments::default();
-    [8.0, 10.0, 12.0, 10.0].iter().for_each(|s| moments.add(*s));
-    assert_eq!(moments.cell(5), None);
-    moments.add(10.0);
-    let cell = moments.cell(5).expect("five tasks");
+    let mut stats = RunTimeStats::default();
+    [8.0, 10.0, 12.0, 10.0].iter().for_each(|s| stats.add(*s));
+    assert_eq!(stats.cell(5), None);
+    stats.add(10.0);
+    let cell = stats.cell(5).expect("five tasks");
     // The squared differences 4 + 4 over five tasks give a variance of 1.6.
     assert!((cell.mean_s - 10.0).abs() < 1e-9 && (cell.std_dev_s - 1.6f64.sqrt()).abs() < 1e-9, "{cell:?}");
-    let mut equal_times = Moments::default();
+    let mut equal_times = RunTimeStats::default();
     (0..9).for_each(|_| equal_times.add(7.0));
     assert_eq!(equal_times.cell(5), None);
 }
--- a/crates/failover/src/evidence.rs
+++ b/crates/failover/src/evidence.rs
@@ -14,9 +14,9 @@
     /// Machines that are overdue, unreachable, or respond to calls while their reports do not arrive.
     pub out_of_contact: usize,
     /// Machines that the cloud does not reclaim.
-    pub ordinary: usize,
+    pub on_demand: usize,
     /// Ordinary machines that are out of contact.
-    pub ordinary_out_of_contact: usize,
+    pub on_demand_out_of_contact: usize,
     /// Machines whose reports arrive in time and get responses.
     pub in_time: usize,
     /// Tasks placed on machines that are out of contact.
@@ -32,7 +32,7 @@
     /// cloud reclaims spot machines in waves, which does not mean that their zone is lost.
     pub fn out_of_contact_share(&self) -> f64 {
         let of_all = share(self.out_of_contact, self.machines);
-        if self.ordinary == 0 { of_all } else { of_all.min(share(self.ordinary_out_of_contact, self.ordinary)) }
+        if self.on_demand == 0 { of_all } else { of_all.min(share(self.on_demand_out_of_contact, self.on_demand)) }
     }
 }
 
--- a/crates/failover/src/failover.rs
+++ b/crates/failover/src/failover.rs
@@ -142,9 +142,16 @@
                 controller_responds: fleet.zones_with_controller.contains(&name),
                 can_judge,
             };
-            if let Some((from, evidence, took)) = zone.observe(now, view, context, &self.settings) {
+            if let Some((from, evidence, since_first_sign)) = zone.observe(now, view, context, &self.settings) {
                 let (zone_name, to, episode) = (name.clone(), zone.state(), zone.episode());
-                observation.transitions.push(Transition { zone: zone_name, from, to, evidence, episode, took });
+                observation.transitions.push(Transition {
+                    zone: zone_name,
+                    from,
+                    to,
+                    evidence,
+                    episode,
+                    since_first_sign,
+                });
                 self.unwritten = true;
             }
             if self.settings.admitted_zones.contains(&name) {
--- a/crates/failover/src/sample.rs
+++ b/crates/failover/src/sample.rs
@@ -14,14 +14,14 @@
     /// All machines.
     pub all: usize,
     /// Machines that the cloud does not reclaim.
-    pub ordinary: usize,
+    pub on_demand: usize,
 }
 
 impl MachineCounts {
     /// Counts a machine.
     pub fn add_machine(&mut self, spot: bool) {
         self.all += 1;
-        self.ordinary += usize::from(!spot);
+        self.on_demand += usize::from(!spot);
     }
 }
 
@@ -69,7 +69,7 @@
         let extrapolate = |unresponsive: usize, probed: usize, fleet: usize| unresponsive * fleet / probed.max(1);
         MachineCounts {
             all: extrapolate(self.unresponsive.all, self.probed.all, fleet.all),
-            ordinary: extrapolate(self.unresponsive.ordinary, self.probed.ordinary, fleet.ordinary),
+            on_demand: extrapolate(self.unresponsive.on_demand, self.probed.on_demand, fleet.on_demand),
         }
     }
 
--- a/crates/failover/src/zone.rs
+++ b/crates/failover/src/zone.rs
@@ -41,7 +41,7 @@
     /// The zone's current episode.
     pub episode: u64,
     /// Time from the first sign until the transition.
-    pub took: Duration,
+    pub since_first_sign: Duration,
 }
 
 /// Observations of a zone apart from its own machines.
--- a/crates/failover/tests/zones.rs
+++ b/crates/failover/tests/zones.rs
@@ -80,7 +80,7 @@
     assert!(scenario.advance(300).transitions.is_empty(), "lost before the confirmation time");
     let observation = scenario.advance(900);
     assert_eq!((observation.transitions[0].to, observation.transitions[0].episode), (ZoneState::Lost, 1));
-    assert!(observation.transitions[0].took >= Duration::from_secs(3), "{:?}", observation.transitions);
+    assert!(observation.transitions[0].since_first_sign >= Duration::from_secs(3), "{:?}", observation.transitions);
     assert_eq!(scenario.failover.access(scenario.now(), "b"), Access::Closed);
 }
 
@@ -106,10 +106,10 @@
 #[test]
 fn reclaimed_spot_machines_do_not_make_their_zone_lost() {
     let mut scenario = Scenario::new();
-    scenario.fleet.zones.insert("b".into(), ZoneView { ordinary: 2, ordinary_out_of_contact: 0, ..view(8, 8) });
+    scenario.fleet.zones.insert("b".into(), ZoneView { on_demand: 2, on_demand_out_of_contact: 0, ..view(8, 8) });
     scenario.advance(6000);
     assert_eq!(scenario.state("b"), ZoneState::Healthy);
-    scenario.fleet.zones.insert("b".into(), ZoneView { ordinary: 2, ordinary_out_of_contact: 2, ..view(10, 10) });
+    scenario.fleet.zones.insert("b".into(), ZoneView { on_demand: 2, on_demand_out_of_contact: 2, ..view(10, 10) });
     scenario.advance(2100);
     assert_eq!(scenario.state("b"), ZoneState::Lost);
 }
@@ -251,8 +251,8 @@
     }
     assert_eq!(sample.partitioned_zones().into_iter().collect::<Vec<_>>(), ["b"]);
     assert_eq!(
-        sample.estimate_unresponsive(MachineCounts { all: 300, ordinary: 150 }),
-        MachineCounts { all: 100, ordinary: 50 }
+        sample.estimate_unresponsive(MachineCounts { all: 300, on_demand: 150 }),
+        MachineCounts { all: 100, on_demand: 50 }
     );
     assert!(!sample.most_calls_failed());
 }
