--- a/crates/core/src/jobs.rs
+++ b/crates/core/src/jobs.rs
@@ -163,7 +163,7 @@
     Fetching,
     /// The task is running.
     Running,
-    /// The task was told to stop and is saving a checkpoint.
+    /// The task was ordered to stop and is saving a checkpoint.
     Saving,
 }
 
@@ -211,7 +211,7 @@
     pub running_since: Option<Instant>,
     /// Set while the task must stop.
     pub stop: Option<StopRequest>,
-    /// Whether a start may have been sent to the machine, by this leader or an earlier one.
+    /// Whether this leader or an earlier one may have sent a start order to the machine.
     pub start_sent: bool,
 }
 
@@ -223,7 +223,7 @@
     /// Version of the keys `job/<id>` and `live/<id>`, which are always written together.
     pub version: u64,
     pub cancelled: bool,
-    /// Cancelled because an ancestor is cancelled, which the job's own record does not say yet.
+    /// Whether the job is cancelled because an ancestor is; its own record does not show that yet.
     pub orphaned: bool,
     /// Dependencies that are not known to be durably done.
     pub pending_dependencies: BTreeSet<Name>,
@@ -236,7 +236,7 @@
     pub effective_priority: Priority,
     /// The earliest deadline of the job and its dependents, in milliseconds since the Unix epoch.
     pub effective_deadline_ms: Option<u64>,
-    /// Whether the change of `job/<id>` to done is durable or in progress.
+    /// Whether the write that ends the job is in flight.
     pub closing: bool,
     /// Number of completed tasks.
     pub done_count: u32,
@@ -260,22 +260,24 @@
     pub consecutive_failures: u32,
     /// Number of running tasks.
     pub running_tasks: u32,
-    /// When a task of the job was last placed, or when this leader learned of the job.
+    /// When a task of the job was last placed. If an earlier leader placed its tasks, when this leader
+    /// loaded them.
     pub last_placed: Option<Instant>,
     /// Number of tasks that may still be placed ahead of other jobs because the job was starved.
     pub starvation_credit: u32,
-    /// Whether the job was starved: only production jobs may preempt its tasks, or it would be starved
-    /// again.
+    /// Whether the job was starved. Only production jobs may preempt its tasks then; otherwise it would
+    /// be starved again.
     pub was_starved: bool,
-    /// Expected run time of a task: the user's estimate at first, then a moving average of observed runs.
+    /// Expected run time of a task, in seconds: the user's estimate at first, then a moving average of
+    /// observed runs.
     pub mean_run_s: f64,
 }
 
-/// Approximate memory of a job without its tasks.
+/// Approximate memory of a job without its tasks, in bytes.
 const JOB_BYTES: usize = 1500;
-/// Approximate memory of a placed or requeued task.
+/// Approximate memory of a placed or requeued task, in bytes.
 const PLACEMENT_BYTES: usize = 250;
-/// Approximate memory of a dependency, in the job's spec and in the index of dependents.
+/// Approximate memory of a dependency in the job's spec and in the index of dependents, in bytes.
 const DEPENDENCY_BYTES: usize = 300;
 
 impl Job {
@@ -404,7 +406,7 @@
                 bits[(task - first) as usize / 8] |= 1 << ((task - first) % 8);
             }
         }
-        record.done = bits.iter().map(|b| format!("{b:02x}")).collect();
+        record.done = bits.iter().map(|byte| format!("{byte:02x}")).collect();
         record.restarted = self.restarted.range(first..end).map(|t| t - first).collect();
         record.zone_reruns = self.zone_reruns.range(first..end).map(|(t, count)| (t - first, *count)).collect();
         for (task, placement) in self.placements.range(first..end) {
@@ -422,10 +424,10 @@
     pub fn restore_page(&mut self, page: u32, version: u64, record: &PageRecord, now: Instant) {
         let first = page * TASKS_PER_PAGE;
         self.page_versions.insert(page, version);
-        for (i, pair) in record.done.as_bytes().chunks(2).enumerate() {
-            let byte = std::str::from_utf8(pair).ok().and_then(|t| u8::from_str_radix(t, 16).ok()).unwrap_or(0);
+        for (byte_index, pair) in record.done.as_bytes().chunks(2).enumerate() {
+            let byte = std::str::from_utf8(pair).ok().and_then(|hex| u8::from_str_radix(hex, 16).ok()).unwrap_or(0);
             for bit in (0..8).filter(|bit| byte & (1 << bit) != 0) {
-                let task = first + i as u32 * 8 + bit;
+                let task = first + byte_index as u32 * 8 + bit;
                 if task < self.spec.tasks {
                     self.mark_done(task);
                 }
@@ -451,22 +453,22 @@
     ) {
         let page_versions = self.page_versions.clone();
         let tasks = self.spec.tasks;
-        let newer =
+        let newer_than_page =
             |task: u32| task < tasks && page_versions.get(&(task / TASKS_PER_PAGE)).is_none_or(|page| *page < version);
-        for task in changed.done.iter().copied().filter(|t| newer(*t)) {
+        for task in changed.done.iter().copied().filter(|t| newer_than_page(*t)) {
             self.placements.remove(&task);
             self.mark_done(task);
         }
-        for task in changed.waiting.iter().filter(|t| newer(**t)) {
+        for task in changed.waiting.iter().filter(|t| newer_than_page(**t)) {
             self.placements.remove(task);
         }
-        for (task, index, attempt) in changed.placements.iter().filter(|(t, ..)| newer(*t)) {
+        for (task, index, attempt) in changed.placements.iter().filter(|(t, ..)| newer_than_page(*t)) {
             if let Some((machine, _)) = machines.get(*index) {
                 self.restore_placement(*task, machine, *attempt, now);
             }
         }
-        self.restarted.extend(changed.restarted.iter().copied().filter(|t| newer(*t)));
-        self.zone_reruns.extend(changed.zone_reruns.iter().copied().filter(|(t, _)| newer(*t)));
+        self.restarted.extend(changed.restarted.iter().copied().filter(|t| newer_than_page(*t)));
+        self.zone_reruns.extend(changed.zone_reruns.iter().copied().filter(|(t, _)| newer_than_page(*t)));
     }
 
     /// Restores a placement that an earlier leader recorded, unless the task is done.
@@ -488,9 +490,9 @@
 
     /// Determines the waiting tasks after all records have been restored.
     pub fn rebuild_queue(&mut self, now: Instant) {
-        let last_placed = self.placements.keys().next_back().map_or(0, |t| t + 1);
-        let last_done = (0..self.spec.tasks).rev().find(|t| self.is_done(*t)).map_or(0, |t| t + 1);
-        self.next_task = last_placed.max(last_done);
+        let after_last_placed = self.placements.keys().next_back().map_or(0, |t| t + 1);
+        let after_last_done = (0..self.spec.tasks).rev().find(|t| self.is_done(*t)).map_or(0, |t| t + 1);
+        self.next_task = after_last_placed.max(after_last_done);
         for task in 0..self.next_task {
             if !self.is_done(task) && !self.placements.contains_key(&task) {
                 self.requeued.insert(task, now);
@@ -498,9 +500,9 @@
         }
     }
 
-    /// Whether the job must not run on a machine where it failed. When the other machines are full, a
-    /// faulty machine is the one with free resources and would fail task after task. A job that fails
-    /// on [`FAULTY_JOB_MACHINES`] machines is faulty itself and may run on any.
+    /// Whether the job must not run on this machine because it failed there. When the other machines are
+    /// full, a faulty machine is the one with free resources, and task after task would fail on it. A job
+    /// that has failed on [`FAULTY_JOB_MACHINES`] machines is faulty itself and may run on any.
     pub fn avoids(&self, machine: &Name) -> bool {
         self.failed_on.len() < FAULTY_JOB_MACHINES && self.failed_on.contains(machine)
     }
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -26,21 +26,22 @@
 /// How the tasks of a job are distributed over machines.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Strategy {
-    /// One task per ranking, because each placement changes the ranking.
+    /// Places one task per ranking, because each placement changes the ranking.
     OneByOne,
-    /// Each machine is filled before the next, in the order of the ranking.
+    /// Fills each machine before the next, in the order of the ranking.
     Pack,
-    /// One task per ranking on each machine whose cost exceeds the lowest by at most `within_s` seconds.
+    /// Places one task per ranking on each machine whose cost exceeds the lowest by at most `within_s`
+    /// seconds.
     Level { within_s: f64 },
 }
 
-/// How many tasks of a job are to be placed on machines that were ranked for it, and how.
+/// Parameters for placing tasks of a job on machines that were ranked for it.
 struct Round<'a> {
     job: &'a Name,
     /// Maximum number of tasks to place.
     limit: u32,
     /// Whether the job is beyond its team's guarantee.
-    borrows: bool,
+    beyond_guarantee: bool,
     strategy: Strategy,
 }
 
@@ -52,20 +53,20 @@
 }
 
 impl Term {
-    /// Places up to `limit` tasks of a job and returns the number placed. `borrows` tells whether the job
-    /// is beyond its team's guarantee.
-    fn place_job(&mut self, env: &mut Env, name: &Name, limit: u32, borrows: bool) -> u32 {
+    /// Places up to `limit` tasks of a job and returns the number placed. `beyond_guarantee` tells
+    /// whether the job is beyond its team's guarantee.
+    fn place_job(&mut self, env: &mut Env, name: &Name, limit: u32, beyond_guarantee: bool) -> u32 {
         let mut placed = 0;
         while placed < limit {
             let job = &self.jobs[name];
             let strategy = self.strategy(job);
             let ranked = self.rank(env, job, Resources::of(&job.spec));
             let mut available_cpus = self.cpus_outside_reserve(env, job);
-            let round = Round { job: name, limit: limit - placed, borrows, strategy };
+            let round = Round { job: name, limit: limit - placed, beyond_guarantee, strategy };
             let count = self.place_round(env.steady(), &round, ranked, &mut available_cpus);
             placed += count;
-            // Only a sample of the machines was filled. Go on while a zone is evacuated, so that no later tier
-            // is placed before the remaining tasks.
+            // Only a sample of the machines was filled. While a zone is evacuated, the remaining tasks are placed
+            // too, so that no later tier goes before them.
             if count == 0 || strategy == Strategy::Pack && !self.is_evacuating() {
                 break;
             }
@@ -117,7 +118,7 @@
         self.free_on_demand_cpus(env.steady()) - self.renting.service_reserve(env)
     }
 
-    /// Returns the number of free CPUs on usable on-demand (not spot) machines.
+    /// Returns the number of free CPUs on on-demand machines that accept tasks.
     pub fn free_on_demand_cpus(&self, now: Instant) -> f64 {
         let on_demand = self.machines.values().filter(|m| !m.spot && m.is_schedulable(now));
         on_demand.map(|m| m.total.cpus - m.used.cpus).sum()
@@ -130,9 +131,9 @@
         let need = Resources::of(&job.spec);
         let Some(task) = job.next_ready_task(now) else { return false };
         let target = &self.machines[machine];
-        let reserved = !target.spot && *available_cpus < need.cpus;
+        let needs_service_reserve = !target.spot && *available_cpus < need.cpus;
         let admitted = self.zone_admits(target, need);
-        if reserved
+        if needs_service_reserve
             || !admitted
             || self.is_at_team_limit(&job.spec.team, need)
             || !self.available_resources(target, name).can_fit(need)
@@ -140,7 +141,7 @@
             return false;
         }
         let on_demand = !target.spot;
-        if round.borrows && !self.is_evacuating() && !self.may_exceed_guarantee(now, name) {
+        if round.beyond_guarantee && !self.is_evacuating() && !self.may_exceed_guarantee(now, name) {
             return false;
         }
         if on_demand {
@@ -170,19 +171,19 @@
         self.quotas.add(&job.spec);
         let target = self.machines.get_mut(machine).expect("chosen");
         target.add_task((name.clone(), task), &job.spec);
-        if let Some(claim) = &mut target.reservation
-            && claim.job == *name
+        if let Some(reservation) = &mut target.reservation
+            && reservation.job == *name
         {
-            claim.resources.sub(Resources::of(&job.spec));
-            if claim.resources.is_zero() {
+            reservation.resources.sub(Resources::of(&job.spec));
+            if reservation.resources.is_zero() {
                 target.reservation = None;
             }
         }
         tracing::debug!(job = &**name, task, machine = &**machine, attempt, "placed");
         self.note_placement_started(now, &(name.clone(), task), machine);
         self.note_placed_in_zone(now, &(name.clone(), task), machine);
-        let turn = crate::records::state::WritePriority::of(&self.jobs[name].spec);
-        self.records.mark_changed((name.clone(), task), Some(turn));
+        let priority = crate::records::state::WritePriority::of(&self.jobs[name].spec);
+        self.records.mark_changed((name.clone(), task), Some(priority));
     }
 
     /// Returns the zones in which one more task of the job may be placed, or `None` if any zone will do.
@@ -191,19 +192,20 @@
             return None;
         }
         let mut counts: BTreeMap<String, u32> = self.zones.iter().map(|zone| (zone.clone(), 0)).collect();
-        let mut unknown = 0;
+        let mut in_unknown_zone = 0;
         for placement in job.placements.values() {
             match self.machines.get(&placement.machine).and_then(|m| counts.get_mut(&m.zone)) {
                 Some(count) => *count += 1,
-                // A machine known only from a record may be in any zone.
-                _ => unknown += 1,
+                // The zone of a machine that is known only from a record is unknown.
+                _ => in_unknown_zone += 1,
             }
         }
         if job.spec.one_zone {
-            if unknown > 0 {
+            if in_unknown_zone > 0 {
                 return Some(BTreeSet::new());
             }
-            let used: BTreeSet<String> = counts.iter().filter(|(_, n)| **n > 0).map(|(z, _)| z.clone()).collect();
+            let used: BTreeSet<String> =
+                counts.iter().filter(|(_, count)| **count > 0).map(|(zone, _)| zone.clone()).collect();
             if !used.is_empty() {
                 return Some(used);
             }
@@ -217,7 +219,13 @@
             return counts.into_keys().max_by_key(|zone| open_and_capacity(zone)).map(|zone| BTreeSet::from([zone]));
         }
         let max_per_zone = job.spec.tasks.div_ceil(2);
-        Some(counts.into_iter().filter(|(_, n)| n + unknown < max_per_zone).map(|(zone, _)| zone).collect())
+        Some(
+            counts
+                .into_iter()
+                .filter(|(_, count)| count + in_unknown_zone < max_per_zone)
+                .map(|(zone, _)| zone)
+                .collect(),
+        )
     }
 
     /// Returns the machines that could take one more task of a job with their costs, the cheapest first.
@@ -232,24 +240,26 @@
             .filter(|m| self.available_resources(m, &job.id).can_fit(need) && self.zone_admits(m, need))
             .filter(|m| !job.avoids(&m.name))
             .collect();
-        // A random sample bounds the work per task. Services get a larger one: they are few, and only the
-        // image delays their start.
+        // A random sample bounds the work per task. It is larger for services: they are few, and a machine that
+        // has their image saves most of their start time.
         let sample =
             env.policy.placement_sample * if job.spec.kind == Kind::Service { SERVICE_SAMPLE_FACTOR } else { 1 };
         if fitting.len() > sample {
             fitting = fitting.into_iter().sample(&mut env.rng, sample);
         }
         let mut ranked: Vec<(f64, &Machine)> = fitting.into_iter().map(|m| (self.cost(env, job, m), m)).collect();
-        ranked.sort_by(|(a, m), (b, n)| a.total_cmp(b).then_with(|| m.name.cmp(&n.name)));
+        ranked.sort_by(|(cost, machine), (other_cost, other)| {
+            cost.total_cmp(other_cost).then_with(|| machine.name.cmp(&other.name))
+        });
         ranked.into_iter().map(|(cost, m)| (cost, m.name.clone())).collect()
     }
 
     /// Returns the cost of placing a task of the job on a machine, in seconds.
     fn cost(&self, env: &Env, job: &Job, machine: &Machine) -> f64 {
-        let crowding = self.crowding(job, machine);
-        // Services share few machines, so that the others can be released, but the replicas of one service
-        // are kept apart, so that the loss of a machine costs one replica.
-        let (no_services, replicas) = if job.spec.kind == Kind::Service {
+        let utilization = self.utilization_cost_s(job, machine);
+        // Services share few machines, so that the others can be released. The replicas of one service are kept
+        // apart, so that the loss of a machine costs only one of them.
+        let (no_services, same_service) = if job.spec.kind == Kind::Service {
             let key = |task| (job.id.clone(), task);
             let replicas = machine.tasks.range(key(0)..=key(u32::MAX)).count();
             (if machine.hosts_service() { 0.0 } else { 4.0 }, replicas as f64 * 1.5)
@@ -262,9 +272,9 @@
         let straggler = if machine.straggler { 30.0 } else { 0.0 };
         let probation = self.probation_penalty_s(env.steady(), job, machine);
         self.image_fetch_s(env, job, machine)
-            + crowding
+            + utilization
             + no_services
-            + replicas
+            + same_service
             + retiring
             + on_demand
             + failed_before
@@ -275,13 +285,13 @@
     /// Returns the cost of a machine's utilization, in seconds. With rebalancing enabled, an array task is
     /// expected to run longer on a busier machine. Otherwise fuller machines are preferred, so that the
     /// others can be released.
-    fn crowding(&self, job: &Job, machine: &Machine) -> f64 {
+    fn utilization_cost_s(&self, job: &Job, machine: &Machine) -> f64 {
         let free_share = (machine.total.cpus - machine.used.cpus) / machine.total.cpus.max(1.0);
         match &self.balancer {
             Some(balancer) if job.spec.kind == Kind::Array => {
                 let task_share = Resources::of(&job.spec).dominant_share(machine.total);
-                let used = balancer.load().utilization(&machine.name).unwrap_or(1.0 - free_share);
-                balancer.cost_model().contention_s(job.mean_run_s, used + task_share)
+                let utilization = balancer.load().utilization(&machine.name).unwrap_or(1.0 - free_share);
+                balancer.cost_model().contention_s(job.mean_run_s, utilization + task_share)
             }
             _ => EMPTY_MACHINE_COST_S * free_share,
         }
@@ -293,7 +303,7 @@
         if machine.images.contains(&job.spec.image) {
             return 0.0;
         }
-        let rate = env.machine_type(&machine.kind).map_or(1.0, |k| k.fetch_gb_per_s.max(0.01));
+        let rate = env.machine_type(&machine.kind).map_or(1.0, |machine_type| machine_type.fetch_gb_per_s.max(0.01));
         let alone_s = job.spec.image_gb / rate;
         let mut fetching: BTreeSet<&str> = BTreeSet::new();
         for (name, task) in &machine.tasks {
@@ -316,18 +326,18 @@
     }
 
     /// Returns the resources of a machine that are available to a job: the free resources without those
-    /// that are claimed for another job, unless this job goes before that one.
+    /// that are reserved for another job, unless this job precedes that one in an evacuation.
     pub fn available_resources(&self, machine: &Machine, job: &Name) -> Resources {
         let mut available = self.free_resources(machine);
-        if let Some(claim) = &machine.reservation
-            && claim.job != *job
-            && !self.precedes_in_evacuation(job, &claim.job)
+        if let Some(reservation) = &machine.reservation
+            && reservation.job != *job
+            && !self.precedes_in_evacuation(job, &reservation.job)
         {
-            available.sub(claim.resources);
+            available.sub(reservation.resources);
         }
         available
     }
 }
 
-/// How long resources that were freed by preemption stay claimed for the job.
+/// How long the resources of stopped tasks stay reserved for the job or task that they were stopped for.
 pub(crate) const PREEMPTION_RESERVATION_DURATION: Duration = Duration::from_secs(12);
--- a/crates/core/src/place/pass.rs
+++ b/crates/core/src/place/pass.rs
@@ -12,19 +12,20 @@
 use crate::quota::Resources;
 use crate::term::Term;
 
-/// Number of tasks that one pass may place, or one per machine if that is more. The rest follows in the
-/// next pass.
+/// Number of tasks that one pass may place, or the number of machines if that is more. The other tasks
+/// follow in the next pass.
 const BASE_TASKS_PER_PASS: u32 = 256;
-/// A pass ends after more than this number of jobs that could not be placed completely.
+/// A pass ends when more than this number of jobs could not be placed completely.
 const MAX_MISSES_PER_PASS: u32 = 64;
-/// Number of jobs in one pass that may preempt others. Preemption compares the tasks of many machines.
+/// Number of jobs in one pass that may preempt others. The limit bounds the work of a pass, since preemption
+/// compares the tasks of many machines.
 const MAX_PREEMPTIONS_PER_PASS: u32 = 4;
 
-/// Number of slices in which a starved job is served.
+/// Number of slices into which the tasks of a starved job are divided; one slice is placed at a time.
 const STARVED_JOB_SLICES: u32 = 4;
 /// Number of machines on which freed resources are reserved for a starved job at a time.
 const STARVED_JOB_MACHINES: usize = 16;
-/// How long a job within its guarantee may wait if the objectives do not say.
+/// How long a job within its guarantee may wait if no objective sets a limit.
 const DEFAULT_PATIENCE: Duration = Duration::from_secs(5);
 
 /// Scheduling class of a job, by its rights over other jobs. Earlier variants are served first.
@@ -90,7 +91,7 @@
 
 impl Pass {
     /// Whether a job of higher priority waits for the team's quota.
-    fn is_quota_held(&self, team: &str, priority: Priority) -> bool {
+    fn is_quota_reserved(&self, team: &str, priority: Priority) -> bool {
         self.quota_waiters.get(team).is_some_and(|waiting| *waiting > priority)
     }
 }
@@ -103,13 +104,15 @@
     if job.spec.kind == Kind::Service {
         return false;
     }
-    let since = |ms: u64| env.now.wall_ms as f64 / 1000.0 - ms as f64 / 1000.0;
-    let end = since(job.eligible_ms) + job.mean_run_s;
-    let targets = env.facts.objectives.iter().filter(|o| o.kind == "finished");
-    let targets = targets.filter(|o| o.class.as_ref() == Some(&job.spec.class)).filter_map(|o| o.time_limit);
-    let slack_s = targets.map(|within| within.as_secs_f64() - end);
+    let elapsed_s = |since_ms: u64| env.now.wall_ms as f64 / 1000.0 - since_ms as f64 / 1000.0;
+    let expected_total_s = elapsed_s(job.eligible_ms) + job.mean_run_s;
+    let objectives = env.facts.objectives.iter().filter(|objective| objective.kind == "finished");
+    let time_limits = objectives
+        .filter(|objective| objective.class.as_ref() == Some(&job.spec.class))
+        .filter_map(|objective| objective.time_limit);
+    let slack_s = time_limits.map(|limit| limit.as_secs_f64() - expected_total_s);
     let slack_s =
-        slack_s.chain(job.effective_deadline_ms.map(|deadline| -since(deadline) - job.mean_run_s)).reduce(f64::max);
+        slack_s.chain(job.effective_deadline_ms.map(|deadline| -elapsed_s(deadline) - job.mean_run_s)).reduce(f64::max);
     slack_s.is_some_and(|slack_s| slack_s < 0.0)
 }
 
@@ -121,12 +124,12 @@
         Some(at) => env.steady().duration_since(at),
         None => age,
     };
-    // Later slices follow sooner, so that the job's last tasks start in time as well.
+    // Later slices follow sooner, so that the job's last tasks also start in time.
     waited >= if job.was_starved { env.policy.starvation_timeout / 2 } else { env.policy.starvation_timeout }
 }
 
 impl Term {
-    /// Lets each starved job place a slice of its tasks before all other jobs except urgent services.
+    /// Lets each starved job place a slice of its tasks ahead of all other jobs except urgent services.
     fn mark_starving(&mut self, env: &Env) {
         for job in self.jobs.values_mut().filter(|job| job.starvation_credit == 0 && job.waiting_tasks() > 0) {
             let age = Duration::from_millis(env.now.wall_ms.saturating_sub(job.eligible_ms));
@@ -172,7 +175,7 @@
         };
         for entry in queue {
             let job = &self.jobs[&entry.job];
-            if pass.is_quota_held(&job.spec.team, entry.priority) || self.is_bound_to_closed_zones(now, job) {
+            if pass.is_quota_reserved(&job.spec.team, entry.priority) || self.is_bound_to_closed_zones(now, job) {
                 continue;
             }
             if pass.tasks_left == 0 || pass.misses > MAX_MISSES_PER_PASS {
@@ -229,18 +232,18 @@
     fn serve(&mut self, env: &mut Env, pass: &mut Pass, entry: &QueueEntry) {
         let spec = &self.jobs[&entry.job].spec;
         let need = Resources::of(spec);
-        let limited = self.is_at_team_limit(&spec.team, need);
-        if !limited && pass.max_free[usize::from(!spec.spot)].can_fit(need) {
+        let at_limit = self.is_at_team_limit(&spec.team, need);
+        if !at_limit && pass.max_free[usize::from(!spec.spot)].can_fit(need) {
             let limit = if entry.starved {
                 pass.tasks_left.min(self.jobs[&entry.job].starvation_credit)
             } else {
                 pass.tasks_left
             };
-            let borrows = entry.class == Class::BeyondGuarantee && !entry.starved;
-            pass.tasks_left -= self.place_job(env, &entry.job, limit, borrows);
+            let beyond_guarantee = entry.class == Class::BeyondGuarantee && !entry.starved;
+            pass.tasks_left -= self.place_job(env, &entry.job, limit, beyond_guarantee);
         }
         if entry.starved {
-            self.reserve_for_starved(env, pass, entry, limited);
+            self.reserve_for_starved(env, pass, entry, at_limit);
         } else if self.jobs[&entry.job].next_ready_task(env.steady()).is_some() {
             pass.misses += 1;
             self.relieve_blocked_job(env, pass, entry, need);
@@ -252,13 +255,13 @@
         self.quotas.usage(team).is_none_or(|usage| usage.headroom(need) == 0)
     }
 
-    /// Reserves freed resources or quota for a starved job; otherwise smaller tasks would take all of them.
-    fn reserve_for_starved(&mut self, env: &mut Env, pass: &mut Pass, entry: &QueueEntry, limited: bool) {
+    /// Reserves freed resources or quota for a starved job. Otherwise smaller tasks would take all of them.
+    fn reserve_for_starved(&mut self, env: &mut Env, pass: &mut Pass, entry: &QueueEntry, at_limit: bool) {
         let job = &self.jobs[&entry.job];
         if job.starvation_credit == 0 {
             return;
         }
-        if limited {
+        if at_limit {
             pass.quota_waiters.insert(job.spec.team.clone(), Priority::Production);
         } else {
             self.reserve_freed_resources(env, &entry.job, (job.starvation_credit as usize).min(STARVED_JOB_MACHINES));
@@ -290,11 +293,16 @@
         }
     }
 
-    /// Whether a job has waited long enough to preempt others. Tasks that finish free resources all the
-    /// time, and preemption wastes the work of its victims, so a job preempts only after it has waited for
-    /// a configured share of the time that the objectives allow.
+    /// Whether a job has waited long enough to preempt others. Preemption wastes the work of its victims, and
+    /// finished tasks free resources all the time. So a job preempts only after it has waited for a
+    /// configured share of the time that the objectives allow.
     fn is_patience_over(&self, env: &Env, job: &Job) -> bool {
-        let allowed_wait = env.facts.objectives.iter().find(|o| o.kind == "guarantee").and_then(|o| o.time_limit);
+        let allowed_wait = env
+            .facts
+            .objectives
+            .iter()
+            .find(|objective| objective.kind == "guarantee")
+            .and_then(|objective| objective.time_limit);
         let patience = allowed_wait.unwrap_or(DEFAULT_PATIENCE).mul_f64(env.policy.preemption_delay_share);
         u128::from(env.now.wall_ms.saturating_sub(job.eligible_ms)) >= patience.as_millis()
     }
--- a/crates/core/src/quota.rs
+++ b/crates/core/src/quota.rs
@@ -10,7 +10,7 @@
 
 pub(crate) use rushyoke_balance::Resources;
 
-/// Tolerance of comparisons with a quota, because sums of decimal fractions are not exact.
+/// Tolerance for comparisons with a quota, because sums of decimal fractions are not exact.
 pub(crate) const QUOTA_TOLERANCE: f64 = Resources::TOLERANCE;
 
 /// A team's limit and guarantee, and the resources that its tasks use.
--- a/crates/core/src/rebalance.rs
+++ b/crates/core/src/rebalance.rs
@@ -1,7 +1,7 @@
 //! Rebalancing: reports events to the balancer and carries out the moves that it proposes.
 //!
-//! No safety property depends on the balancer. A move begins with an ordinary stop, which is ordered once
-//! the booking at the destination and the task's mark are durable. The task is placed again once it is
+//! No safety property depends on the balancer. A move begins by stopping the task like any other, once the
+//! booking at the destination and the mark of the task in `restarted` are durable. The task is placed again once it is
 //! proven to be gone from its source, within its team's limit, and with the same record as every placement.
 
 use std::time::{Duration, Instant};
@@ -20,21 +20,21 @@
 use crate::quota::Resources;
 use crate::term::Term;
 
-/// Time from a direct call that orders a stop until a report shows that the task is gone, in seconds, without
-/// the task's grace period. Workers report changes at most every half second.
+/// Time from a direct call that orders a stop until a report shows that the task is gone, in seconds. It does
+/// not include the task's grace period. Workers report changes at most every half second.
 const STOP_CONFIRMATION_S: f64 = 0.6;
-/// How long a vacated task waits for a destination that a new leader does not know yet.
+/// How long a vacated task waits for a destination that the new leader does not know or has not reached yet.
 const DESTINATION_DISCOVERY: Duration = Duration::from_secs(4);
-/// Bytes of each value of the record of open moves that are left unused.
+/// Bytes that stay unused in each part of the record of open moves.
 const RECORD_SPARE_BYTES: usize = 256;
-/// A booking that has not become durable within this time is taken as a sign of a slow state service.
+/// If a booking takes longer than this to become durable, the state service is considered slow.
 const SLOW_BOOKING: Duration = Duration::from_secs(2);
 /// Time between two log lines that summarize the balance of the fleet.
 const SUMMARY_PERIOD: Duration = Duration::from_secs(60);
 
 /// Whether tasks may be moved to a machine: it accepts tasks, is not about to be released, and reports to
-/// this leader, which thereby renews its lease. The lease of a machine that only answers direct calls, as
-/// after a takeover, may expire before its worker finds the leader, and moved tasks would be lost.
+/// this leader, which renews its lease. A machine that only responds to direct calls, as after a takeover, is
+/// excluded: its lease may expire before its worker finds the leader, and moved tasks would be lost.
 fn is_destination(machine: &Machine, env: &Env) -> bool {
     let now = env.steady();
     let in_healthy_zone = machine.in_open_zone() && !machine.zone_unhealthy;
@@ -78,11 +78,11 @@
             return None;
         }
         let ran_s = placement.running_since.map_or(0.0, |at| now.duration_since(at).as_secs_f64());
-        let saves = job.spec.checkpoint_interval_s > 0.0;
-        if !saves && ran_s > settings.max_age_without_checkpoint.as_secs_f64() {
+        let has_checkpoints = job.spec.checkpoint_interval_s > 0.0;
+        if !has_checkpoints && ran_s > settings.max_age_without_checkpoint.as_secs_f64() {
             return None;
         }
-        let (lost_work_s, save_s) = if saves { (0.0, job.spec.save_s) } else { (ran_s, 0.0) };
+        let (lost_work_s, save_s) = if has_checkpoints { (0.0, job.spec.save_s) } else { (ran_s, 0.0) };
         Some(Candidate {
             key: key.clone(),
             attempt: placement.attempt,
@@ -100,7 +100,7 @@
         let mut candidates: Vec<Candidate> = Vec::new();
         for candidate in machine.tasks.iter().filter_map(|key| self.candidate(key)) {
             match candidates.iter_mut().find(|other| other.key.0 == candidate.key.0) {
-                // Tasks of a job are alike, so the one with the most remaining run time gains the most.
+                // The tasks of a job are alike, so moving the one with the most remaining run time gains the most.
                 Some(other) if other.remaining_s >= candidate.remaining_s => {}
                 Some(other) => *other = candidate,
                 None => candidates.push(candidate),
@@ -112,8 +112,8 @@
     fn remaining_s(&self, machine: &Name) -> f64 {
         let now = self.env.steady();
         let horizon = self.balancer.settings().service_horizon.as_secs_f64();
-        let places = self.term.machines.get(machine).into_iter().flat_map(|machine| &machine.tasks);
-        let remaining = places.map(|(name, task)| {
+        let tasks = self.term.machines.get(machine).into_iter().flat_map(|machine| &machine.tasks);
+        let remaining = tasks.map(|(name, task)| {
             let job = &self.term.jobs[name];
             if job.spec.kind == Kind::Service { horizon } else { remaining_s(now, job, &job.placements[task]) }
         });
@@ -123,10 +123,10 @@
     fn fits(&self, task: &Candidate, machine: &Name) -> bool {
         let job = &self.term.jobs[&task.key.0];
         let Some(target) = self.term.machines.get(machine) else { return false };
-        let reserved = !target.spot && self.available_cpus < task.need.cpus;
-        let available = self.term.available_without_term_balancer(self.balancer, target, &job.id);
+        let needs_service_reserve = !target.spot && self.available_cpus < task.need.cpus;
+        let available = self.term.available_with_bookings_of(self.balancer, target, &job.id);
         is_destination(target, self.env)
-            && !reserved
+            && !needs_service_reserve
             && target.reservation.is_none()
             && meets_constraints(&job.spec, target)
             && !job.avoids(machine)
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Records that a task is gone from its machine. `delayed` tells whether it must not start again at once.
+    /// Records that a task is gone from its machine. `delayed` tells whether its next start must wait.
     pub fn note_placement_ended(&mut self, now: Instant, key: &TaskKey, delayed: bool) {
         let move_ends = delayed || self.jobs.get(&key.0).is_none_or(|job| job.cancelled || job.is_done(key.1));
         let Some(balancer) = &mut self.balancer else { return };
@@ -203,9 +203,9 @@
         self.balancer.as_ref().is_some_and(|balancer| balancer.shares().weighted_share(balancer.load(), team) > 1.0)
     }
 
-    /// Returns the resources of a machine that are available to a job, with the bookings of a balancer that
+    /// Returns the resources of a machine that are available to a job, without the bookings of a balancer that
     /// was taken out of the term.
-    fn available_without_term_balancer(&self, balancer: &Balancer, machine: &Machine, job: &Name) -> Resources {
+    fn available_with_bookings_of(&self, balancer: &Balancer, machine: &Machine, job: &Name) -> Resources {
         self.available_resources(machine, job).minus(balancer.load().booked(&machine.name))
     }
 
@@ -215,18 +215,17 @@
         let now = env.steady();
         let Some(mut balancer) = self.balancer.take() else { return };
         for machine in self.machines.values() {
-            let reserved =
-                machine.reservation.as_ref().filter(|claim| claim.by_preemption).map(|claim| claim.resources);
+            let reservation = machine.reservation.as_ref().filter(|reservation| reservation.by_preemption);
             let info = MachineInfo {
                 zone: Name::from(machine.zone.as_str()),
                 total: if machine.up && machine.counts_as_capacity() { machine.total } else { Resources::default() },
                 accepts_moves: is_destination(machine, env),
-                reserved: reserved.unwrap_or_default(),
+                reserved: reservation.map(|reservation| reservation.resources).unwrap_or_default(),
             };
             balancer.update_machine(&machine.name, info);
         }
-        let overdue = balancer.tick(now);
-        // While bookings wait for a slow or unavailable state service, more of them would not help.
+        let timed_out = balancer.tick(now);
+        // While the state service is slow or unavailable, no further moves are booked.
         if !self.survey_active()
             && !self.is_evacuating()
             && !balancer.moves().any_in_state_longer(now, MoveState::Booked, SLOW_BOOKING)
@@ -238,7 +237,7 @@
             tracing::info!("balance: {}", balancer.summary());
         }
         self.balancer = Some(balancer);
-        overdue.iter().for_each(|key| self.give_up_move(key, GiveUpReason::TimedOut));
+        timed_out.iter().for_each(|key| self.give_up_move(key, GiveUpReason::TimedOut));
         self.vacated_tasks_due = true;
     }
 
@@ -296,7 +295,7 @@
         }
     }
 
-    /// Returns one value of the record of open moves, with the task and attempt of each move that waits for
+    /// Returns one part of the record of open moves, with the task and attempt of each move that waits for
     /// it to be durable; `None` if it must not be written yet. `durable_with` tells whether a task's mark is
     /// durable or written in the same transaction.
     pub fn open_moves_record(
@@ -314,12 +313,12 @@
         Some((record, booked))
     }
 
-    /// Returns the indices of the values of the record of open moves that must be written.
+    /// Returns the indices of the parts of the record of open moves that must be written.
     pub fn unwritten_move_parts(&self) -> Vec<usize> {
         self.balancer.as_ref().map(|balancer| balancer.moves().unwritten_parts()).unwrap_or_default()
     }
 
-    /// Marks values of the record of open moves as unwritten, because a write failed or its outcome is
+    /// Marks parts of the record of open moves as unwritten, because a write failed or its outcome is
     /// unknown.
     pub fn mark_moves_unwritten(&mut self, parts: &[usize]) {
         if let Some(balancer) = &mut self.balancer {
@@ -327,7 +326,7 @@
         }
     }
 
-    /// Stops the tasks of moves whose bookings have become durable, unless the situation has changed.
+    /// Stops the tasks of moves whose bookings have become durable, if the moves are still possible.
     pub fn start_durable_moves(&mut self, env: &mut Env, booked: Vec<(TaskKey, u64)>) {
         for (key, attempt) in booked {
             self.stop_for_move(env, &key, attempt);
@@ -343,7 +342,7 @@
             return;
         };
         let placement = self.jobs.get(&key.0).and_then(|job| job.placements.get(&key.1));
-        // The task was stopped for another reason, or has ended and may have been restarted.
+        // The task was stopped for another reason, or it ended and may have been restarted.
         if placement.is_none_or(|placement| placement.attempt != attempt || placement.stop.is_some()) {
             self.give_up_move(key, GiveUpReason::LeftEarly);
             return;
@@ -382,12 +381,12 @@
         let vacated: Vec<Move> =
             balancer.moves().open().filter(|open| open.state == MoveState::Vacated).cloned().collect();
         for open in vacated {
-            self.place_moved(env, &open);
+            self.place_moved_task(env, &open);
         }
     }
 
     /// Places a vacated task at its destination, or gives up its move.
-    fn place_moved(&mut self, env: &Env, open: &Move) {
+    fn place_moved_task(&mut self, env: &Env, open: &Move) {
         let now = env.steady();
         let (name, task) = &open.key;
         let requeued = self.jobs.get(name).is_some_and(|job| job.is_requeued(*task));
@@ -395,12 +394,12 @@
             _ if !requeued => Some(GiveUpReason::PlacedElsewhere),
             // During an evacuation, tasks are placed in the order of their tiers.
             _ if self.is_evacuating() => Some(GiveUpReason::Evacuation),
-            // A new leader may not know or have reached the destination yet.
+            // A new leader may not know the destination yet, or may not have reached it.
             Some(target) if !target.is_fenced() && now.duration_since(open.since) < DESTINATION_DISCOVERY => return,
             None if now.duration_since(open.since) < DESTINATION_DISCOVERY => return,
             None => Some(GiveUpReason::DestinationGone),
             Some(target) if !target.is_schedulable(now) => Some(GiveUpReason::DestinationUnfit),
-            Some(target) if !self.accepts_moved(target, open) => Some(GiveUpReason::DestinationFull),
+            Some(target) if !self.accepts_moved_task(target, open) => Some(GiveUpReason::DestinationFull),
             Some(_) => None,
         };
         if let Some(reason) = reason {
@@ -413,7 +412,7 @@
 
     /// Whether the team's limit, the job's constraints and the booked resources allow the move's task at its
     /// destination.
-    fn accepts_moved(&self, target: &Machine, open: &Move) -> bool {
+    fn accepts_moved_task(&self, target: &Machine, open: &Move) -> bool {
         let job = &self.jobs[&open.key.0];
         !self.is_at_team_limit(&job.spec.team, open.need)
             && meets_constraints(&job.spec, target)
@@ -449,7 +448,8 @@
         let Some(job) = self.jobs.get_mut(open.job.as_str()) else { return false };
         let vacated = job.is_requeued(open.task);
         let at_source = job.placements.get(&open.task).is_some_and(|placement| placement.attempt == open.attempt);
-        // Otherwise the task was moved, restarted or ended since, possibly by a leader without rebalancing.
+        // Otherwise the task has since been moved or restarted, or has ended, possibly under a leader without
+        // rebalancing.
         if job.cancelled || !job.restarted.contains(&open.task) || !(vacated || at_source) {
             return false;
         }
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -3,16 +3,18 @@
 //!
 //! The store limits the number of changes, not their size, and many jobs change a little all the
 //! time. So the changes of all jobs go into one value: the open segment of the log, which is
-//! rewritten with more tasks until it is full. A task's state is the one in the record written
-//! last; each record is rendered from memory at the time of writing. A segment is deleted once
+//! rewritten with more tasks until it is full. If several records contain a task, the one written last is
+//! valid; each record is rendered from memory at the time of writing. A segment is deleted once
 //! every task in it belongs to a finished job or is contained in a later page.
 //!
 //! Every transaction has the version of the leader key as a condition, so that a deposed leader
-//! writes nothing. One that places tasks also has the version of their jobs, so that nothing
-//! starts after a cancellation. A transaction without a response may be applied late and would
-//! bring back an old state. It has the version of the open segment as a condition, so the next
-//! transaction always writes that same segment, which makes the late one fail. Only then is a new
-//! segment begun.
+//! writes nothing. A transaction that places tasks also has the versions of their jobs as conditions, so
+//! that nothing starts after a cancellation.
+//!
+//! A transaction without a response may be applied late and would bring back an old state. Because it
+//! has the version of the open segment as a condition, it fails once a later transaction has written
+//! that segment. So the next transaction always writes the same segment, and a new one is begun only
+//! after that.
 
 mod log;
 pub(crate) mod state;
@@ -35,25 +37,26 @@
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Minimum time between transactions, so that changes made meanwhile share one.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(60);
-/// Minimum time between transactions with changes that nothing waits for, such as finished tasks.
+/// Minimum time between transactions that contain only changes that nothing waits for, such as finished tasks.
 const DEFERRED_WRITE_INTERVAL: Duration = Duration::from_millis(500);
-/// Minimum time between transactions if only moves have ended: until then their record is merely stale.
+/// Minimum time between transactions if only the record of moves has changed. It may be stale for that long.
 const MOVES_WRITE_INTERVAL: Duration = Duration::from_secs(5);
 /// Maximum number of segments that one transaction compacts.
 const MAX_COMPACTED_SEGMENTS: usize = 2;
 /// Maximum share of the store's changes per second used by the log; the rest is left to users' requests.
 const MAX_LOG_WRITE_SHARE: f64 = 0.4;
-/// Number of sealed segments kept before the oldest is compacted: most jobs end before that.
+/// Minimum number of sealed segments that are kept: most jobs end before their segment is compacted.
 const MIN_RETAINED_SEGMENTS: usize = 12;
-/// Total size of the sealed segments kept, which allows more of them if values are small.
+/// Minimum total size of the sealed segments that are kept, in bytes. If values are small, this allows more
+/// than the minimum number.
 const MIN_RETAINED_BYTES: usize = 96 * 1024;
-/// Bytes of a value that stay unused.
+/// Number of bytes of a value that stay unused.
 const RESERVED_VALUE_BYTES: usize = 256;
-/// Maximum size of a transaction.
+/// Maximum size of a transaction, in bytes.
 const MAX_TXN_BYTES: usize = 40 * 1024;
-/// Approximate size of a task in a segment.
+/// Approximate size of a task in a segment, in bytes.
 const TYPICAL_TASK_BYTES: usize = 48;
-/// Minimum size of a task in a segment.
+/// Minimum size of a task in a segment, in bytes.
 const MIN_TASK_BYTES: usize = 16;
 
 impl Term {
@@ -124,8 +127,8 @@
             let Some(job) = self.jobs.get_mut(&name).filter(|job| !job.closing) else {
                 continue;
             };
-            let over = if job.cancelled { job.placements.is_empty() } else { job.is_complete() };
-            if !over {
+            let ended = if job.cancelled { job.placements.is_empty() } else { job.is_complete() };
+            if !ended {
                 continue;
             }
             job.closing = true;
--- a/crates/core/src/records/log.rs
+++ b/crates/core/src/records/log.rs
@@ -15,9 +15,9 @@
     RESERVED_VALUE_BYTES, TYPICAL_TASK_BYTES,
 };
 
-/// Maximum size of one more task in a segment, without its job's name.
+/// Maximum size of one more task in a segment without its job's name, in bytes.
 const MAX_TASK_BYTES: usize = 200;
-/// Maximum size of a count of reruns, without the name of its list.
+/// Maximum size of a count of reruns without the name of its list, in bytes.
 const MAX_RERUN_COUNT_BYTES: usize = 24;
 
 /// Returns the number of sealed segments that are kept before the oldest is compacted.
@@ -56,7 +56,7 @@
 }
 
 impl Term {
-    /// Writes changed tasks into the open segment, or into a new one if they do not fit.
+    /// Writes changed tasks into the open segment, or begins a new one if they do not fit.
     pub(super) fn write_segment(
         &mut self,
         env: &Env,
@@ -67,16 +67,16 @@
         let max_bytes = env.facts.value_bytes.saturating_sub(RESERVED_VALUE_BYTES);
         let max_conditions = env.facts.txn_ops * 4 - 1;
         let open_job = |name: &Name| self.jobs.get(name).filter(|job| !job.closing);
-        // Only as many as may fit: with tens of thousands of tasks to place, examining all of them
+        // Only as many tasks are examined as may fit. There may be tens of thousands, and examining all of them
         // for each transaction would use too much CPU time.
         let unwritten = self.records.new_placements.iter().map(|(_, key)| key).chain(&self.records.changed_tasks);
         let candidates: Vec<TaskKey> = unwritten.take(env.facts.value_bytes / MIN_TASK_BYTES).cloned().collect();
-        let (due, over): (Vec<_>, Vec<_>) = candidates.into_iter().partition(|key| open_job(&key.0).is_some());
-        let others_unwritten = self.zone_record_is_unwritten() || !self.unwritten_move_parts().is_empty();
+        let (due, ended): (Vec<_>, Vec<_>) = candidates.into_iter().partition(|key| open_job(&key.0).is_some());
+        let other_records_unwritten = self.zone_record_is_unwritten() || !self.unwritten_move_parts().is_empty();
         let records = &mut self.records;
         // Tasks of finished jobs need no record.
-        over.iter().for_each(|key| records.mark_written(key));
-        if due.is_empty() && !records.outcome_unknown && !others_unwritten {
+        ended.iter().for_each(|key| records.mark_written(key));
+        if due.is_empty() && !records.outcome_unknown && !other_records_unwritten {
             return;
         }
         let jobs = &self.jobs;
@@ -91,9 +91,10 @@
         let mut combined = SizeBound { bytes: size.bytes, jobs: size.jobs.clone(), machines: size.machines.clone() };
         due.iter().for_each(|key| combined.add(key, placement_of(key), was_rerun(key), addr_len));
         let mut tasks: BTreeSet<TaskKey>;
-        // Without `full`, a task that fits but for the margin of `MAX_TASK_BYTES` would wait forever.
-        let full = combined.bytes > max_bytes || records.open_segment.full;
-        if full && !records.outcome_unknown && records.open_segment.version > 0 {
+        // `full` is set if no task fitted. The size bound alone may stay below the maximum then, because of the
+        // margin of `MAX_TASK_BYTES` below, and the tasks would wait forever.
+        let begin_segment = combined.bytes > max_bytes || records.open_segment.full;
+        if begin_segment && !records.outcome_unknown && records.open_segment.version > 0 {
             let (number, version) = (records.open_segment.number, records.open_segment.version);
             let sealed = std::mem::take(&mut records.open_segment.tasks);
             tasks = BTreeSet::new();
@@ -106,9 +107,9 @@
         for key in &due {
             let placement = placement_of(key);
             let planned = placement.is_some_and(|placement| placement.stage == Stage::Planned);
-            let full = txn.conditions.len() >= max_conditions;
+            let conditions_full = txn.conditions.len() >= max_conditions;
             if size.bytes + MAX_TASK_BYTES + key.0.len() > max_bytes
-                || (planned && full && !guarded_jobs.contains(&key.0))
+                || (planned && conditions_full && !guarded_jobs.contains(&key.0))
             {
                 continue;
             }
@@ -145,8 +146,8 @@
         let in_this_txn: BTreeSet<TaskKey> = batch.tasks.iter().map(|(key, _)| key.clone()).collect();
         let unwritten = std::mem::take(&mut self.records.changed_tasks);
         for part in self.unwritten_move_parts() {
-            let full = (txn.writes.len() + 1) * env.facts.value_bytes > MAX_TXN_BYTES;
-            if txn.writes.len() >= env.facts.txn_ops || full {
+            let txn_full = (txn.writes.len() + 1) * env.facts.value_bytes > MAX_TXN_BYTES;
+            if txn.writes.len() >= env.facts.txn_ops || txn_full {
                 break;
             }
             let record = self.open_moves_record(part, |key| in_this_txn.contains(key) || !unwritten.contains(key));
@@ -194,7 +195,7 @@
             if !self.compact_oldest_segment(env, txn, batch) {
                 return;
             }
-            // The rest of it cannot be compacted now, but the next segment may be.
+            // The rest of this segment cannot be compacted now, but the next one may be.
             self.records.sealed_segments.rotate_left(1);
         }
     }
@@ -203,8 +204,9 @@
     fn compact_oldest_segment(&mut self, env: &Env, txn: &mut Txn, batch: &mut Batch) -> bool {
         let max_bytes = env.facts.value_bytes.saturating_sub(RESERVED_VALUE_BYTES);
         let Some(oldest) = self.records.sealed_segments.front() else { return false };
-        // Otherwise the same tasks would be rewritten endlessly. Done only if nothing waits for this
-        // transaction, because rewritten tasks use up the space of urgent changes.
+        // Tasks are rewritten only from a segment that is at least half empty; otherwise the same tasks would be
+        // rewritten endlessly. Nothing may wait for this transaction, because rewritten tasks use up the space
+        // of urgent changes.
         let idle = batch.closed_jobs.is_empty() && !batch.new_placements;
         let may_rewrite = idle && oldest.tasks.len() * TYPICAL_TASK_BYTES < env.facts.value_bytes / 2;
         // The larger the backlog, the more pages go into one transaction.
--- a/crates/core/src/records/state.rs
+++ b/crates/core/src/records/state.rs
@@ -32,7 +32,7 @@
     pub(super) number: u64,
     pub(super) version: u64,
     pub(super) tasks: BTreeSet<TaskKey>,
-    /// No due task fitted into it, so the next segment is begun.
+    /// Whether no task that was to be written fitted, so that a new segment must be begun.
     pub(super) full: bool,
 }
 
@@ -44,7 +44,7 @@
     pub(super) tasks: BTreeSet<TaskKey>,
 }
 
-/// What a leader has written and must write during its term.
+/// What a leader has written, and what it must still write, during its term.
 #[derive(Default)]
 pub(crate) struct Records {
     /// Tasks whose new placement is not durable yet, those of production services (`false`) first.
@@ -57,16 +57,17 @@
     pub(super) sealed_segments: VecDeque<SealedSegment>,
     /// Jobs whose end must be written, in order.
     pub(super) close_queue: VecDeque<Name>,
-    /// The same jobs, for fast lookup among thousands.
+    /// The same jobs as a set, for fast lookup among thousands of jobs.
     pub(super) queued_to_close: BTreeSet<Name>,
-    /// Obsolete keys.
+    /// Obsolete keys that are still in the store.
     pub(super) keys_to_delete: VecDeque<String>,
     pub(super) write_in_flight: bool,
     pub(super) last_write_at: Option<Instant>,
     pub(super) retry_at: Option<Instant>,
-    /// A transaction may still be applied, so the open segment is read and then written.
+    /// Whether a transaction without a response may still be applied. The open segment is then read and
+    /// written again, so that the late transaction fails.
     pub(super) outcome_unknown: bool,
-    /// The open segment must be read because its version is uncertain.
+    /// Whether the open segment must be read because its version is uncertain.
     pub(super) reread_segment: bool,
     /// Jobs whose records must be read because their versions are uncertain.
     pub(super) jobs_to_reread: BTreeSet<Name>,
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -1,6 +1,6 @@
 //! A leader's term from its start to its periodic work: loading the state from the state service,
-//! ending jobs, and running what is due. For a safe takeover no order is sent before the records
-//! are loaded, and no report counts as evidence that a task is absent before the machine is fenced.
+//! ending jobs, and running the work that is due. For a safe takeover, no order is sent before the records
+//! are loaded, and a report proves that a task is gone only once the machine is fenced.
 
 mod load;
 
@@ -12,11 +12,12 @@
 
 /// Delay before a failed read or watch is repeated.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
-/// Minimum time between scheduling passes without any jobs.
+/// Minimum time between scheduling passes, to which [`PASS_INTERVAL_PER_JOB`] is added.
 const MIN_PASS_INTERVAL: Duration = Duration::from_millis(50);
 /// Additional time between scheduling passes per unfinished job.
 const PASS_INTERVAL_PER_JOB: Duration = Duration::from_micros(500);
-/// With tens of thousands of jobs a task would otherwise wait longer for the next pass than for its image.
+/// Maximum time between scheduling passes. With tens of thousands of jobs, a task would otherwise wait longer
+/// for the next pass than for its image.
 const MAX_PASS_INTERVAL: Duration = Duration::from_millis(2500);
 /// Prefix of the keys of unfinished jobs.
 const LIVE_PREFIX: &str = "live/";
@@ -49,13 +50,14 @@
         self.close_if_ended(name);
     }
 
-    /// Queues the end of a job to be written if the job is over.
+    /// Queues the end of a job to be written if the job has ended: it is done, or cancelled and without
+    /// placements.
     pub fn close_if_ended(&mut self, name: &Name) {
         let Some(job) = self.jobs.get(name) else {
             return;
         };
-        let over = if job.cancelled { job.placements.is_empty() } else { job.is_complete() };
-        if over {
+        let ended = if job.cancelled { job.placements.is_empty() } else { job.is_complete() };
+        if ended {
             self.stops.job_ended(name);
             self.records.queue_close(name);
         }
@@ -109,14 +111,14 @@
         }
     }
 
-    /// Runs after every input: places tasks, writes records and calls workers where due.
+    /// Runs after every input: places tasks, writes records and calls workers if that is due.
     pub fn run_due_work(&mut self, env: &mut Env) {
         if !self.ready() {
             return;
         }
         let now = env.steady();
         self.place_vacated_tasks(env);
-        // A pass examines every unfinished job, so it runs less often if there are many.
+        // A pass examines every unfinished job, so passes run less often if there are many jobs.
         let interval = (MIN_PASS_INTERVAL + PASS_INTERVAL_PER_JOB * self.jobs.len() as u32).min(MAX_PASS_INTERVAL);
         if self.scheduling_due && self.last_pass_at.is_none_or(|t| now.duration_since(t) >= interval) {
             self.scheduling_due = false;
--- a/crates/core/src/recover/load.rs
+++ b/crates/core/src/recover/load.rs
@@ -18,7 +18,7 @@
 use crate::term::{LoadStage, Term};
 
 impl Term {
-    /// Requests the next page of records, or marks loading as idle if all are read.
+    /// Requests the next page of records, if any are left to load.
     pub(super) fn read_next_page(&mut self, env: &mut Env) {
         self.load_request_pending = true;
         if matches!(&self.load_stage, LoadStage::Jobs { after } if after.is_empty()) {
@@ -43,13 +43,13 @@
                 return;
             }
         };
-        // No report is answered before the jobs are loaded.
+        // No report gets a response before the jobs are loaded.
         let urgency = if matches!(call, LoadCall::Jobs) { Urgency::Leadership } else { Urgency::High };
         env.call_store(Purpose::Load(call), urgency, op);
     }
 
     /// Opens a watch on the unfinished jobs. It is renewed as often as the leader's lease, because
-    /// reports may be answered only while both are recent.
+    /// reports get a response only while both are recent.
     pub(super) fn watch_jobs(&mut self, env: &mut Env) {
         if !self.watch_pending {
             self.watch_pending = true;
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Requests the record of zone failover, which is the last one.
+    /// Requests the failover record, which is the last one, or completes the load without failover.
     fn load_zones(&mut self, env: &mut Env) {
         if self.failover.is_none() {
             self.complete_load(env);
@@ -231,18 +231,19 @@
             self.link_dependencies(env, &name);
         }
         for name in self.jobs.keys().cloned().collect::<Vec<_>>() {
-            // An earlier leader may have failed between a cancellation and its stops.
+            // An earlier leader may have failed between the cancellation and the stop orders.
             if self.jobs[&name].cancelled {
                 self.job_cancelled(env, &name);
             }
             self.close_if_ended(&name);
         }
         self.machines_inherited = !self.machines.is_empty();
-        let places: usize = self.jobs.values().map(|j| j.placements.len()).sum();
-        tracing::info!(jobs = self.jobs.len(), places, machines = self.machines.len(), "records read");
+        let placements: usize = self.jobs.values().map(|job| job.placements.len()).sum();
+        tracing::info!(jobs = self.jobs.len(), places = placements, machines = self.machines.len(), "records read");
         // Machines that run services are fenced at once.
-        let hosts: Vec<Name> = self.machines.values().filter(|m| m.hosts_service()).map(|m| m.name.clone()).collect();
-        hosts.iter().for_each(|name| self.call_soon(name));
+        let service_hosts: Vec<Name> =
+            self.machines.values().filter(|m| m.hosts_service()).map(|m| m.name.clone()).collect();
+        service_hosts.iter().for_each(|name| self.call_soon(name));
         self.scheduling_due = true;
         self.watch_jobs(env);
     }
@@ -266,8 +267,9 @@
             for changed in &record.jobs {
                 if let Some(job) = self.jobs.get_mut(changed.job.as_str()) {
                     job.restore_changes(version, changed, &record.machines, now);
-                    let named = changed.placements.iter().map(|(t, ..)| t).chain(&changed.done).chain(&changed.waiting);
-                    tasks.extend(named.map(|task| (job.id.clone(), *task)));
+                    let changed_tasks =
+                        changed.placements.iter().map(|(t, ..)| t).chain(&changed.done).chain(&changed.waiting);
+                    tasks.extend(changed_tasks.map(|task| (job.id.clone(), *task)));
                 }
             }
             self.records.add_inherited_segment(number, version, tasks);
@@ -280,7 +282,8 @@
     fn apply_placements(&mut self, now: Instant, addresses: &BTreeMap<String, String>) {
         for (id, job) in &mut self.jobs {
             job.rebuild_queue(now);
-            // The time of a job's last placement is not recorded; a job without any counts from its submission.
+            // The time of the last placement is not recorded, so it counts from now. A job without any counts
+            // from when it became eligible.
             job.last_placed = (!job.placements.is_empty() || job.done_count > 0).then_some(now);
             for (task, placement) in &job.placements {
                 let name = &placement.machine;
--- a/crates/core/src/speculate.rs
+++ b/crates/core/src/speculate.rs
@@ -1,5 +1,5 @@
-//! Speculative restarts after the eSplash paper: levels of machines, run time statistics per level and
-//! task type, stragglers, and at most one restart per period. A task type is a job, as in the paper.
+//! Speculative restarts as in the eSplash paper: levels of machines, run time statistics per level and
+//! task type, stragglers, and at most one restart per period. Each job is a task type, as in the paper.
 //!
 //! The computations that don't depend on the leader's state are in `statistics`.
 
@@ -27,8 +27,11 @@
 /// A task that may be restarted on another machine.
 struct RestartCandidate {
     key: TaskKey,
+    /// Lowest level of the machines on which the task may be restarted.
     minimum_level: usize,
+    /// Expected run time at or above that level, in seconds.
     expected_s: f64,
+    /// Expected gain of the restart, in seconds.
     gain_s: f64,
     target: Name,
 }
@@ -76,15 +79,15 @@
     fn update_levels(&mut self, env: &mut Env) -> usize {
         let mut performances: BTreeMap<Name, Performance> = BTreeMap::new();
         for (job, machines) in &self.speculation.finished {
-            for (machine, stats) in machines.iter().filter(|(_, m)| m.count >= MIN_RUNS_PER_TYPE) {
+            for (machine, stats) in machines.iter().filter(|(_, stats)| stats.count >= MIN_RUNS_PER_TYPE) {
                 performances.entry(machine.clone()).or_default().insert(job.clone(), stats.mean());
             }
         }
         let names: Vec<Name> = performances.keys().cloned().collect();
         let points: Vec<Performance> = performances.into_values().collect();
-        let found = levels(&points, env.policy.max_levels, &mut env.rng);
-        let count = found.iter().max().map_or(1, |l| l + 1);
-        self.speculation.levels = names.into_iter().zip(found).collect();
+        let machine_levels = levels(&points, env.policy.max_levels, &mut env.rng);
+        let count = machine_levels.iter().max().map_or(1, |level| level + 1);
+        self.speculation.levels = names.into_iter().zip(machine_levels).collect();
         for machine in self.machines.values_mut() {
             machine.level = self.speculation.levels.get(&machine.name).copied().unwrap_or(0);
         }
@@ -102,7 +105,7 @@
                     continue;
                 };
                 running += 1;
-                if let Some(cell) = cells.get(&key.0).and_then(|c| c[machine.level]) {
+                if let Some(cell) = cells.get(&key.0).and_then(|levels| levels[machine.level]) {
                     elapsed_with_cell.push((now.duration_since(since).as_secs_f64(), cell));
                 }
             }
@@ -111,8 +114,8 @@
             if straggler {
                 machine.last_straggling = Some(now);
             }
-            // The mark is kept for a while: slow runs lower the machine's level, at which it would soon be
-            // considered normal.
+            // The mark is kept for a while. Slow runs lower the machine's level, and at the lower level the machine
+            // would soon count as normal.
             let straggler = machine.last_straggling.is_some_and(|t| now.duration_since(t) < STRAGGLER_MARK_DURATION);
             if straggler != machine.straggler {
                 tracing::info!(
@@ -193,7 +196,8 @@
     /// on the level's machines ("containers" in the paper).
     fn level_table(&self, job: &Job, cells: &[Option<Cell>], levels: usize) -> Vec<(Option<f64>, f64)> {
         let need = Resources::of(&job.spec);
-        let mut table: Vec<(Option<f64>, f64)> = (0..levels).map(|l| (cells[l].map(|c| c.mean_s), 0.0)).collect();
+        let mut table: Vec<(Option<f64>, f64)> =
+            (0..levels).map(|level| (cells[level].map(|cell| cell.mean_s), 0.0)).collect();
         for machine in
             self.machines.values().filter(|m| m.up && m.counts_as_capacity() && meets_constraints(&job.spec, m))
         {
@@ -202,8 +206,8 @@
         table
     }
 
-    /// Returns a machine for a restarted task: one with enough available resources that is not a straggler
-    /// and is at or above the minimum level.
+    /// Returns the best machine for a restarted task: not a straggler, at or above the minimum level, and with
+    /// enough available resources.
     fn restart_target(&self, now: Instant, job: &Job, minimum: usize, from: &Name) -> Option<Name> {
         let need = Resources::of(&job.spec);
         let zones = self.eligible_zones(job);
--- a/crates/core/src/speculate/statistics.rs
+++ b/crates/core/src/speculate/statistics.rs
@@ -14,34 +14,34 @@
 pub struct RunTimeStats {
     /// Number of run times added.
     pub count: u32,
-    sum: f64,
-    squares: f64,
+    sum_s: f64,
+    sum_of_squares: f64,
 }
 
 impl RunTimeStats {
     /// Adds a run time.
     pub fn add(&mut self, run_s: f64) {
         self.count += 1;
-        self.sum += run_s;
-        self.squares += run_s * run_s;
+        self.sum_s += run_s;
+        self.sum_of_squares += run_s * run_s;
     }
 
     /// Adds all run times of another instance.
     pub fn merge(&mut self, other: &RunTimeStats) {
         self.count += other.count;
-        self.sum += other.sum;
-        self.squares += other.squares;
+        self.sum_s += other.sum_s;
+        self.sum_of_squares += other.sum_of_squares;
     }
 
     /// Returns the mean run time.
     pub fn mean(&self) -> f64 {
-        self.sum / f64::from(self.count.max(1))
+        self.sum_s / f64::from(self.count.max(1))
     }
 
     /// Returns the variance of the run times.
     pub fn variance(&self) -> f64 {
         let mean = self.mean();
-        (self.squares / f64::from(self.count.max(1)) - mean * mean).max(0.0)
+        (self.sum_of_squares / f64::from(self.count.max(1)) - mean * mean).max(0.0)
     }
 
     /// Returns the cell (μ, δ) if it has at least `minimum` run times and these are not all equal.
@@ -65,7 +65,7 @@
 pub type Performance = BTreeMap<Name, f64>;
 
 /// Whether each of two groups is slower than the other in some dimension, so that neither dominates.
-fn crossed(a: &Bounds, b: &Bounds) -> bool {
+fn neither_dominates(a: &Bounds, b: &Bounds) -> bool {
     let shared = || a.iter().filter_map(|(dim, x)| b.get(dim).map(|y| (x, y)));
     shared().any(|(x, y)| x.0 > y.1) && shared().any(|(x, y)| y.0 > x.1)
 }
@@ -79,8 +79,8 @@
 type Bounds = BTreeMap<Name, (f64, f64)>;
 
 /// Extends bounds to include others.
-fn widen(bounds: &mut Bounds, by: &Bounds) {
-    for (dim, (low, high)) in by {
+fn extend_bounds(bounds: &mut Bounds, others: &Bounds) {
+    for (dim, (low, high)) in others {
         let entry = bounds.entry(dim.clone()).or_insert((*low, *high));
         *entry = (entry.0.min(*low), entry.1.max(*high));
     }
@@ -89,26 +89,27 @@
 /// Algorithm 1: merges machines that don't dominate one another into groups. Returns the indices of each
 /// group's points.
 pub fn groups(points: &[Performance]) -> Vec<Vec<usize>> {
-    let bounds_of = |p: &Performance| p.iter().map(|(dim, e)| (dim.clone(), (*e, *e))).collect::<Bounds>();
+    let bounds_of =
+        |point: &Performance| point.iter().map(|(dim, mean)| (dim.clone(), (*mean, *mean))).collect::<Bounds>();
     let mut groups: Vec<(Vec<usize>, Bounds)> =
         points.iter().enumerate().map(|(i, p)| (vec![i], bounds_of(p))).collect();
     let mut i = 0;
     while i < groups.len() {
-        let found = (i + 1..groups.len()).find(|j| crossed(&groups[i].1, &groups[*j].1));
+        let found = (i + 1..groups.len()).find(|j| neither_dominates(&groups[i].1, &groups[*j].1));
         let Some(j) = found else {
             i += 1;
             continue;
         };
         let (members, bounds) = groups.swap_remove(j);
         groups[i].0.extend(members);
-        widen(&mut groups[i].1, &bounds);
+        extend_bounds(&mut groups[i].1, &bounds);
         while let Some(j) = (0..groups.len()).find(|j| *j != i && overlaps(&groups[i].1, &groups[*j].1)) {
             let (members, bounds) = groups.swap_remove(j);
             if i == groups.len() {
                 i = j;
             }
             groups[i].0.extend(members);
-            widen(&mut groups[i].1, &bounds);
+            extend_bounds(&mut groups[i].1, &bounds);
         }
         i = 0;
     }
@@ -124,11 +125,11 @@
 /// Returns the mean of the member points in each dimension.
 fn center(points: &[Performance], members: &[usize]) -> Performance {
     let mut sums: BTreeMap<Name, (f64, f64)> = BTreeMap::new();
-    for (dim, e) in members.iter().flat_map(|i| points[*i].iter()) {
+    for (dim, mean) in members.iter().flat_map(|i| points[*i].iter()) {
         let sum = sums.entry(dim.clone()).or_default();
-        *sum = (sum.0 + e, sum.1 + 1.0);
+        *sum = (sum.0 + mean, sum.1 + 1.0);
     }
-    sums.into_iter().map(|(dim, (sum, n))| (dim, sum / n)).collect()
+    sums.into_iter().map(|(dim, (sum, count))| (dim, sum / count)).collect()
 }
 
 /// Algorithm 2: k-means clustering in which a group is assigned as a whole, by a vote of its members.
@@ -145,41 +146,47 @@
     // The assignment usually converges in a few rounds. The bound stops ties that alternate forever.
     for _ in 0..50 {
         let mut changed = false;
-        for (g, members) in groups.iter().enumerate() {
+        for (group, members) in groups.iter().enumerate() {
             let mut votes = vec![0u32; k];
             for i in members {
                 let nearest = (0..k)
                     .min_by(|a, b| distance(&points[*i], &centers[*a]).total_cmp(&distance(&points[*i], &centers[*b])));
                 votes[nearest.expect("k is above 1")] += 1;
             }
-            let winner = (0..k).rev().max_by_key(|c| votes[*c]).expect("k is above 1");
-            changed |= assigned[g] != winner;
-            assigned[g] = winner;
+            let winner = (0..k).rev().max_by_key(|cluster| votes[*cluster]).expect("k is above 1");
+            changed |= assigned[group] != winner;
+            assigned[group] = winner;
         }
         if !changed {
             break;
         }
-        for (c, old) in centers.iter_mut().enumerate() {
-            let members: Vec<usize> =
-                groups.iter().zip(&assigned).filter(|(_, a)| **a == c).flat_map(|(m, _)| m.iter().copied()).collect();
+        for (cluster, cluster_center) in centers.iter_mut().enumerate() {
+            let members: Vec<usize> = groups
+                .iter()
+                .zip(&assigned)
+                .filter(|(_, group_cluster)| **group_cluster == cluster)
+                .flat_map(|(members, _)| members.iter().copied())
+                .collect();
             if !members.is_empty() {
-                *old = center(points, &members);
+                *cluster_center = center(points, &members);
             }
         }
     }
     // Run times of different task types are not comparable, so the levels are ordered by each cluster's
     // mean ratio to the overall means.
     let overall = center(points, &indices);
-    let slowness = |c: usize| -> f64 {
-        let ratios: Vec<f64> =
-            centers[c].iter().filter_map(|(dim, e)| overall.get(dim).map(|o| e / o.max(1e-9))).collect();
+    let slowness = |cluster: usize| -> f64 {
+        let ratios: Vec<f64> = centers[cluster]
+            .iter()
+            .filter_map(|(dim, mean)| overall.get(dim).map(|overall_mean| mean / overall_mean.max(1e-9)))
+            .collect();
         ratios.iter().sum::<f64>() / ratios.len().max(1) as f64
     };
     let mut used: Vec<usize> = assigned.iter().copied().collect::<BTreeSet<_>>().into_iter().collect();
     used.sort_by(|a, b| slowness(*b).total_cmp(&slowness(*a)));
     let mut result = vec![0; points.len()];
     for (members, cluster) in groups.iter().zip(&assigned) {
-        let level = used.iter().position(|c| c == cluster).expect("every used cluster is listed");
+        let level = used.iter().position(|used_cluster| used_cluster == cluster).expect("every used cluster is listed");
         for i in members {
             result[*i] = level;
         }
@@ -204,8 +211,10 @@
 pub fn minimum_level(from: usize, table: &[(Option<f64>, f64)]) -> Option<(usize, f64)> {
     let mut best: Option<(usize, f64)> = None;
     for level in from..table.len() {
-        let measured = table[level..].iter().filter_map(|(mean, containers)| mean.map(|m| (m, *containers)));
-        let (sum_s, containers) = measured.fold((0.0, 0.0), |(sum, all), (mean, c)| (sum + mean * c, all + c));
+        let measured =
+            table[level..].iter().filter_map(|(mean_s, containers)| mean_s.map(|mean_s| (mean_s, *containers)));
+        let (sum_s, containers) =
+            measured.fold((0.0, 0.0), |(sum_s, total), (mean_s, count)| (sum_s + mean_s * count, total + count));
         if containers > 0.0 && best.is_none_or(|(_, lowest_s)| sum_s / containers < lowest_s) {
             best = Some((level, sum_s / containers));
         }
@@ -220,7 +229,8 @@
     if containers <= 0.0 {
         return 0.0;
     }
-    let gains = table[minimum..].iter().filter_map(|(mean, c)| mean.map(|m| c * (remaining_s - m)));
+    let gains =
+        table[minimum..].iter().filter_map(|(mean_s, count)| mean_s.map(|mean_s| count * (remaining_s - mean_s)));
     gains.sum::<f64>() / containers
 }
 
@@ -259,6 +269,6 @@
             let level = self.levels.get(machine).copied().unwrap_or(0).min(levels - 1);
             merged[level].merge(stats);
         }
-        merged.iter().map(|m| m.cell(minimum)).collect()
+        merged.iter().map(|stats| stats.cell(minimum)).collect()
     }
 }
