--- a/crates/balance/src/balancer.rs
+++ b/crates/balance/src/balancer.rs
@@ -16,8 +16,8 @@
 use crate::shares::{FairShares, PlacementRequest};
 use crate::{Name, TaskKey};
 
-/// A move times out when it has been in one state for this many booking timeouts; a single one would leave no
-/// time for the task to save its progress.
+/// A move times out when it has been in one state for this many booking timeouts. A single one would leave no
+/// time for the task to save a checkpoint.
 const BOOKING_TIMEOUTS_PER_STATE: u32 = 2;
 
 /// Statistics of moves since the last summary, and how evenly the fleet is utilized.
@@ -39,7 +39,7 @@
     pub given_up: Vec<(GiveUpReason, u64)>,
     /// Number of open moves.
     pub open: usize,
-    /// Number of jobs that are held back now in favor of other teams.
+    /// Number of jobs that are held back now for the fair shares of other teams.
     pub held_jobs: usize,
 }
 
@@ -117,7 +117,7 @@
         CostModel::new(&self.settings)
     }
 
-    /// Sets what the core knows of a machine.
+    /// Updates the data of a machine.
     pub fn update_machine(&mut self, name: &Name, info: MachineInfo) {
         self.load.set_machine(name, info);
     }
@@ -129,7 +129,7 @@
         self.moves.unplaced_moves_to(name)
     }
 
-    /// Records that a task was placed. If its move brought it there, the booking is released.
+    /// Records that a task was placed. If that is the destination of its move, the booking is released.
     pub fn task_placed(&mut self, now: Instant, key: &TaskKey, machine: &Name, team: &Name, need: Resources) {
         self.load.add_task(key, machine, team, need);
         let Some(open) = self.moves.get(key) else { return };
@@ -141,24 +141,24 @@
         self.moves.advance(now, key, &[MoveState::Vacated], MoveState::Placed);
     }
 
-    /// Records that a task was reported running; returns its move if that ends with it.
+    /// Records that a task was reported running; returns its move if this ends it.
     pub fn task_running(&mut self, key: &TaskKey) -> Option<(Move, MoveEnd)> {
         self.load.mark_running(key);
         match self.moves.get(key)?.state {
             MoveState::Placed => self.end(key, MoveEnd::Confirmed),
-            // The stop was never sent, or is still on its way; it is not sent again.
+            // The earlier leader's stop order was never sent or has not arrived yet; it is not sent again.
             MoveState::Inherited => self.end(key, MoveEnd::GivenUp(GiveUpReason::LeaderChanged)),
             _ => None,
         }
     }
 
-    /// Records that a task was reported saving its progress.
+    /// Records that a task was reported saving a checkpoint.
     pub fn task_saving(&mut self, now: Instant, key: &TaskKey) {
         self.moves.advance(now, key, &[MoveState::Inherited, MoveState::Stopping], MoveState::Saving);
     }
 
-    /// Records that a task is proven gone from its machine; `ended` if it does not start again at
-    /// once. Returns its move if that ends with it; otherwise the move continues at its destination.
+    /// Records that a task is proven gone from its machine. `ended` tells whether it does not start again at once.
+    /// Returns its move if this ends it; otherwise the move continues at its destination.
     pub fn task_left(&mut self, now: Instant, key: &TaskKey, ended: bool) -> Option<(Move, MoveEnd)> {
         self.load.remove_task(key);
         let state = self.moves.get(key)?.state;
@@ -182,8 +182,8 @@
         self.end(key, MoveEnd::GivenUp(reason))
     }
 
-    /// Begins a move and books its resources at the destination. `part` is the part of the record that will
-    /// hold it.
+    /// Begins a move and books its resources at the destination. `part` is the index of the part of the record
+    /// that will contain it.
     pub fn begin(&mut self, now: Instant, proposal: &Proposal, part: usize) {
         self.begun += 1;
         self.rate_limit.move_begun(now, &proposal.from, &proposal.to);
@@ -200,8 +200,8 @@
         });
     }
 
-    /// Takes over a move of an earlier leader. `vacated` if its task is proven gone from the source; otherwise
-    /// the task is still there according to the records.
+    /// Takes over a move of an earlier leader. `vacated` tells whether its task is proven gone from the source;
+    /// otherwise the task is still there according to the records.
     pub fn adopt(&mut self, now: Instant, open: &OpenMove, part: usize, need: Resources, vacated: bool) {
         self.open_move(Move {
             key: (Name::from(open.job.as_str()), open.task),
@@ -257,8 +257,8 @@
         self.settings.booking_timeout
     }
 
-    /// Returns the next move worth its cost, if the budget allows one, and the part of the record with space for
-    /// it; each part holds at most `value_bytes`.
+    /// Returns the next move worth its cost, if the budget allows one, and the index of a part of the record with
+    /// space for it. Each part takes at most `value_bytes` bytes.
     pub fn propose(&self, view: &impl FleetView, value_bytes: usize) -> Option<(Proposal, usize)> {
         if self.rate_limit.available() == 0 {
             return None;
@@ -294,8 +294,8 @@
         OpenMoves { moves: moves.collect() }
     }
 
-    /// Marks a part of the record to be written: its last write failed or is in doubt, or was made by an earlier
-    /// leader.
+    /// Marks a part of the record to be written, because its last write failed, has an unknown outcome, or was made
+    /// by an earlier leader.
     pub fn mark_unwritten(&mut self, part: usize) {
         self.moves.set_unwritten(part, true);
     }
--- a/crates/balance/src/cost.rs
+++ b/crates/balance/src/cost.rs
@@ -9,7 +9,7 @@
     contention_slowdown: f64,
 }
 
-/// Expected cost of a move, and the run time that the task has left; all in seconds.
+/// Expected cost of a move and the remaining run time of its task, all in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MoveCost {
     /// Remaining run time of the task, if it were alone on a machine.
@@ -34,7 +34,7 @@
 pub struct MoveEndpoint {
     /// Utilization of the machine with the task on it, as a share.
     pub utilization: f64,
-    /// Share of the machine that the task takes.
+    /// Dominant share of the machine that the task takes.
     pub task_share: f64,
     /// Total remaining run time of the other tasks on the machine.
     pub others_remaining_s: f64,
@@ -46,8 +46,8 @@
         CostModel { contention_slowdown: settings.contention_slowdown }
     }
 
-    /// Expected time until a new task completes on a machine: fetching its image, and its run slowed by
-    /// contention. The run time itself is left out, since it is the same on every machine.
+    /// Expected time to fetch a new task's image, plus the time that contention adds to its run. The run time
+    /// itself is left out, since it is the same on every machine.
     pub fn placement_s(&self, fetch_s: f64, run_s: f64, utilization_after: f64) -> f64 {
         fetch_s + self.contention_s(run_s, utilization_after)
     }
--- a/crates/balance/src/load.rs
+++ b/crates/balance/src/load.rs
@@ -1,11 +1,15 @@
 //! The load model: resources in use by machine, zone and team, and the utilization that machines will reach.
 //! It is updated incrementally, so that no single event iterates over all machines or tasks.
 //!
-//! *Used* resources belong to tasks that were reported running, *starting* ones to placed tasks that were not
-//! yet (their image may still be fetched), *claimed* ones are kept by preemption for a job, *booked* ones are
-//! for tasks that open moves will bring, and *departing* ones belong to tasks that open moves will take away. A
-//! machine's *utilization* counts the first four without the last. So a machine that is filling up does not
-//! look idle, and one that tasks are about to leave does not look full.
+//! - *Used* resources belong to tasks that were reported running.
+//! - *Starting* resources belong to placed tasks that were not reported running yet; their image may still be
+//!   fetched.
+//! - *Reserved* resources were freed by preemption and are kept for a job.
+//! - *Booked* resources are for tasks that open moves will bring.
+//! - *Departing* resources belong to tasks that open moves will take away.
+//!
+//! A machine's *utilization* is the sum of the first four minus the last. So a machine that is filling up does
+//! not look idle, and one that tasks are about to leave does not look full.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,7 +29,7 @@
     pub total: Resources,
     /// Whether tasks may be moved to it.
     pub accepts_moves: bool,
-    /// Resources that preemption keeps on it for a job.
+    /// Resources on it that were freed by preemption and are reserved for a job.
     pub reserved: Resources,
 }
 
@@ -47,7 +51,7 @@
     reserved: Resources,
     booked: Resources,
     departing: Resources,
-    /// Its step in the index, and the utilization with which it was counted there.
+    /// Its step in the index and its exact utilization, as last counted.
     indexed: Option<(u32, f64)>,
 }
 
@@ -82,7 +86,7 @@
 pub struct ZoneLoad {
     /// Resources of its machines.
     pub total: Resources,
-    /// Resources that are used, starting, claimed or booked.
+    /// Resources that are used, starting, reserved or booked.
     pub allocated: Resources,
 }
 
@@ -191,7 +195,7 @@
             self.by_utilization.remove(&(step, name.clone()));
             self.destinations_by_utilization.remove(&(step, name.clone()));
         }
-        // A machine known by its name only has no utilization.
+        // A machine of which only the name is known has no utilization.
         if load.total.is_zero() {
             return;
         }
@@ -205,7 +209,7 @@
         }
     }
 
-    /// Sets what the core knows of a machine; cheap if nothing changed.
+    /// Updates the data of a machine; cheap if nothing changed.
     pub fn set_machine(&mut self, name: &Name, info: MachineInfo) {
         let unchanged = self.machines.get(name).is_some_and(|load| {
             load.zone.as_ref() == Some(&info.zone)
@@ -224,7 +228,7 @@
         });
     }
 
-    /// Removes a machine; its tasks were removed before.
+    /// Removes a machine. Its tasks must have been removed before.
     pub fn remove_machine(&mut self, name: &Name) {
         if !self.machines.contains_key(name) {
             return;
--- a/crates/balance/src/moves.rs
+++ b/crates/balance/src/moves.rs
@@ -7,9 +7,9 @@
 //!    └── any failure: given up with a reason; once stopped, the task is placed like any other
 //! ```
 //!
-//! Invariants: no task is stopped before the booking and the task's mark are durable, so that a new leader
-//! never repeats a move; a task has at most one move at a time; the resources stay booked from before the
-//! stop until the task has its new placement or the move ends.
+//! Invariants: no task is stopped before the booking and the task's mark, that it was moved, are durable, so
+//! that a new leader never repeats a move; a task has at most one move at a time; the resources stay booked
+//! from before the stop until the task has its new placement or the move ends.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -27,7 +27,7 @@
     Inherited,
     /// The task was ordered to stop.
     Stopping,
-    /// The task was reported saving its progress.
+    /// The worker reported that the task is saving a checkpoint.
     Saving,
     /// The task is proven gone from the source and waits for its new placement.
     Vacated,
@@ -38,7 +38,7 @@
 /// Why a move was given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum GiveUpReason {
-    /// The destination no longer has the resources, or may not run the task.
+    /// The destination no longer has enough free resources, or may not run the task.
     DestinationFull,
     /// The destination is retiring, straggling, unresponsive or about to be released.
     DestinationUnfit,
@@ -88,12 +88,12 @@
     pub since: Instant,
     /// Expected net gain of the move.
     pub gain_s: f64,
-    /// The part of the record that holds it.
+    /// Index of the part of the record that contains it.
     pub part: usize,
 }
 
 impl Move {
-    /// Upper bound of the bytes that it takes in the record.
+    /// Upper bound of its size in the record, in bytes.
     pub fn record_bytes(&self) -> usize {
         OpenMove::max_bytes(&self.key.0, &self.from, &self.to)
     }
@@ -204,14 +204,14 @@
 
     /// Returns the moves that have been in their state for at least `timeout`.
     pub fn timed_out(&self, now: Instant, timeout: Duration) -> Vec<TaskKey> {
-        let late = |open: &&Move| now.saturating_duration_since(open.since) >= timeout;
-        self.open.values().filter(late).map(|open| open.key.clone()).collect()
+        let timed_out = |open: &&Move| now.saturating_duration_since(open.since) >= timeout;
+        self.open.values().filter(timed_out).map(|open| open.key.clone()).collect()
     }
 
     /// Whether any move has been in this state for longer than `limit`.
     pub fn any_in_state_longer(&self, now: Instant, state: MoveState, limit: Duration) -> bool {
-        let late = |open: &Move| open.state == state && now.saturating_duration_since(open.since) > limit;
-        self.open.values().any(late)
+        let is_late = |open: &Move| open.state == state && now.saturating_duration_since(open.since) > limit;
+        self.open.values().any(is_late)
     }
 
     /// Returns the moves to a machine whose task is not placed there yet.
--- a/crates/balance/src/planner.rs
+++ b/crates/balance/src/planner.rs
@@ -38,7 +38,8 @@
     fn candidates(&self, machine: &Name) -> Vec<Candidate>;
     /// Returns the total remaining run time of all tasks on the machine.
     fn remaining_s(&self, machine: &Name) -> f64;
-    /// Whether the task may run on the machine, and fits into resources that are neither claimed nor booked.
+    /// Whether the task may run on the machine and fits into its free resources, which exclude reserved and
+    /// booked ones.
     fn fits(&self, task: &Candidate, machine: &Name) -> bool;
     /// Returns the time that fetching the task's image to the machine takes.
     fn fetch_s(&self, task: &Candidate, machine: &Name) -> f64;
@@ -70,8 +71,8 @@
 }
 
 impl Planner<'_> {
-    /// Returns the next move worth its cost, if there is one: the best of the most utilized machine that has
-    /// any.
+    /// Returns the next move worth its cost, if there is one: the best move from the most utilized machine that
+    /// has such a move.
     pub fn next(&self, view: &impl FleetView) -> Option<Proposal> {
         let destinations = self.load.least_loaded(DESTINATIONS_CONSIDERED);
         let lowest_utilization =
--- a/crates/balance/src/rate_limit.rs
+++ b/crates/balance/src/rate_limit.rs
@@ -1,7 +1,7 @@
 //! Limits the rate of moves: a budget that grows with time, and a cooldown for machines.
 //!
-//! The cooldown prevents oscillation: a machine that was the source of a move is no destination for a
-//! while, and the reverse, so that tasks don't move back and forth while the load model settles.
+//! The cooldown prevents oscillation: for a while, a machine that was the source of a move cannot be a
+//! destination, nor the reverse. Otherwise tasks could move back and forth before the load model is up to date.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,22 +9,23 @@
 use crate::Name;
 use crate::settings::Settings;
 
-/// The budget accumulates at most the moves of this many seconds.
+/// Maximum accumulated budget, as the number of seconds in which it grows to that.
 const MAX_BURST_S: f64 = 2.0;
 const MINUTE_S: f64 = 60.0;
 
 /// The role of a machine in a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MoveRole {
-    /// A task left it.
+    /// The machine that the task leaves.
     Source,
-    /// A task came to it.
+    /// The machine that the task is moved to.
     Destination,
 }
 
 /// The budget of moves and the machines in cooldown.
 #[derive(Debug, Default)]
 pub struct MoveRateLimiter {
+    /// Number of moves that may begin now; fractions accumulate.
     budget: f64,
     filled_at: Option<Instant>,
     /// The last role of each machine in cooldown, and when it had it.
--- a/crates/balance/src/record.rs
+++ b/crates/balance/src/record.rs
@@ -1,4 +1,4 @@
-//! The durable form of open moves: several values (parts) in the state service, each holding some of the
+//! The durable form of open moves: several values (parts) in the state service, each containing some of the
 //! moves. A part is written in the same transaction as the marks of its moved tasks, so that neither is
 //! durable without the other.
 //!
@@ -46,7 +46,7 @@
 }
 
 impl OpenMove {
-    /// Upper bound of the bytes that an entry with these names takes in its part.
+    /// Upper bound of the size of an entry with these names, in bytes.
     pub fn max_bytes(job: &str, from: &str, to: &str) -> usize {
         // Punctuation and field names, and the digits of a task's number and an attempt.
         const PUNCTUATION: usize = 40;
--- a/crates/balance/src/resources.rs
+++ b/crates/balance/src/resources.rs
@@ -87,8 +87,8 @@
         smallest.clamp(0.0, MAX_FIT_COUNT) as u32
     }
 
-    /// Returns the largest share of `total` over all resources that `total` has: the dominant share of
-    /// dominant resource fairness.
+    /// Returns the dominant share, as in dominant resource fairness: the largest of the shares of `total` over
+    /// CPUs, GPUs and memory. A resource that `total` lacks is left out.
     pub fn dominant_share(&self, total: Resources) -> f64 {
         let share = |amount: f64, whole: f64| if whole > TOLERANCE { amount / whole } else { 0.0 };
         share(self.cpus, total.cpus).max(share(self.gpus, total.gpus)).max(share(self.memory_gb, total.memory_gb))
--- a/crates/balance/src/settings.rs
+++ b/crates/balance/src/settings.rs
@@ -21,13 +21,13 @@
     pub moves_per_machine: f64,
     /// Time after a move during which a machine does not take the opposite role in another one.
     pub cooldown: Duration,
-    /// Time allowed for a step of a move; a move that stays in one state for twice as long loses its booking.
+    /// Time allowed for each step of a move. A move that stays in one state for twice as long is given up.
     pub booking_timeout: Duration,
-    /// A task without checkpoints is moved only within this time after its start.
+    /// Maximum time since its start at which a task without checkpoints may be moved.
     pub max_age_without_checkpoint: Duration,
     /// Share of the fleet that teams above their fair share must leave free.
     pub free_share: f64,
-    /// The same for tasks that are expected to run for longer than `short_run`.
+    /// Share that they must leave free when placing tasks that are expected to run for longer than `short_run`.
     pub free_share_long_runs: f64,
     /// Longest time that a job is held back to leave resources free.
     pub max_hold: Duration,
--- a/crates/balance/src/shares.rs
+++ b/crates/balance/src/shares.rs
@@ -2,7 +2,7 @@
 //! share of any single resource, and teams are weighted by their guarantees.
 //!
 //! Within its guarantee a team is never restricted. Beyond it, a team that has more than its fair share
-//! must leave a part of the fleet free for other teams, and a larger part for tasks that run long. A job is
+//! must leave a part of the fleet free for other teams, and a larger part if its tasks run for long. A job is
 //! held back for a limited time only: users are promised that nothing waits for long while resources are
 //! free.
 
@@ -26,7 +26,7 @@
     pub team: &'a str,
     /// Resources that the task requests.
     pub need: Resources,
-    /// Expected run time.
+    /// Expected run time of the task, in seconds.
     pub run_s: f64,
 }
 
@@ -40,9 +40,9 @@
 pub struct FairShares {
     teams: BTreeMap<Name, Team>,
     /// Jobs that are held back now, and since when.
-    held_since: BTreeMap<Name, Instant>,
-    /// Number of jobs that were ever held back.
-    total_held: u64,
+    held_back_since: BTreeMap<Name, Instant>,
+    /// Number of times that a job began to be held back.
+    total_held_back: u64,
 }
 
 impl FairShares {
@@ -66,7 +66,7 @@
         if total > 0.0 { (self.weight(team) / total).min(1.0) } else { 1.0 }
     }
 
-    /// Returns the team's dominant share of the fleet if it had `additional` resources too.
+    /// Returns the dominant share of the fleet that the team would have with `additional` resources.
     pub fn dominant_share(&self, load: &LoadModel, team: &str, additional: Resources) -> f64 {
         load.team(team).all().plus(additional).dominant_share(load.total())
     }
@@ -84,7 +84,7 @@
         limit.can_fit(after)
     }
 
-    /// Whether one more task may be placed now. A job that is refused is held back and may ask again; after
+    /// Whether one more task may be placed now. A job that is refused is held back and may request again; after
     /// `max_hold` it is allowed in any case.
     pub fn may_place(
         &mut self,
@@ -95,12 +95,12 @@
     ) -> bool {
         let allowed = self.is_within_guarantee(load, request) || self.is_fair(load, settings, request);
         if allowed {
-            self.held_since.remove(request.job);
+            self.held_back_since.remove(request.job);
             return true;
         }
-        let total_held = &mut self.total_held;
-        let since = *self.held_since.entry(request.job.clone()).or_insert_with(|| {
-            *total_held += 1;
+        let total_held_back = &mut self.total_held_back;
+        let since = *self.held_back_since.entry(request.job.clone()).or_insert_with(|| {
+            *total_held_back += 1;
             now
         });
         now.saturating_duration_since(since) >= settings.max_hold
@@ -123,11 +123,11 @@
 
     /// Forgets a job that no longer waits.
     pub fn forget_job(&mut self, job: &Name) {
-        self.held_since.remove(job);
+        self.held_back_since.remove(job);
     }
 
-    /// Returns the number of jobs held back now, and of all that ever were.
+    /// Returns the number of jobs that are held back now, and how often a job began to be held back.
     pub fn held_jobs(&self) -> (usize, u64) {
-        (self.held_since.len(), self.total_held)
+        (self.held_back_since.len(), self.total_held_back)
     }
 }
--- a/crates/core/src/rebalance.rs
+++ b/crates/core/src/rebalance.rs
@@ -1,8 +1,9 @@
 //! Rebalancing: reports events to the balancer and carries out the moves that it proposes.
 //!
 //! No safety property depends on the balancer. A move begins by stopping the task like any other, once the
-//! booking at the destination and the mark of the task in `restarted` are durable. The task is placed again once it is
-//! proven to be gone from its source, within its team's limit, and with the same record as every placement.
+//! booking at the destination and the task's mark (its entry in `Job::restarted`) are durable. The task is
+//! placed again once it is proven to be gone from its source, within its team's limit, and with the same
+//! record as every placement.
 
 use std::time::{Duration, Instant};
 
--- a/crates/failover/src/evidence.rs
+++ b/crates/failover/src/evidence.rs
@@ -9,15 +9,15 @@
     pub machines: usize,
     /// Machines whose reports are overdue.
     pub overdue: usize,
-    /// Machines that did not respond to their last direct call, whether or not they report.
+    /// Machines that did not respond to the last direct call to them, whether or not they report.
     pub unreachable: usize,
     /// Machines that are overdue, unreachable, or respond to calls while their reports do not arrive.
     pub out_of_contact: usize,
-    /// Machines that the cloud does not reclaim.
+    /// On-demand machines, which the cloud does not reclaim.
     pub on_demand: usize,
-    /// Ordinary machines that are out of contact.
+    /// On-demand machines that are out of contact.
     pub on_demand_out_of_contact: usize,
-    /// Machines whose reports arrive in time and get responses.
+    /// Machines whose reports arrive in time and get a response.
     pub in_time: usize,
     /// Tasks placed on machines that are out of contact.
     pub tasks_out_of_contact: usize,
@@ -28,8 +28,8 @@
 }
 
 impl ZoneView {
-    /// Returns the share of the machines that is out of contact, or of the ordinary ones if that is smaller: the
-    /// cloud reclaims spot machines in waves, which does not mean that their zone is lost.
+    /// Returns the share of the machines that is out of contact, or the share of the on-demand machines if that is
+    /// smaller. The cloud reclaims many spot machines at once, which does not mean that their zone is lost.
     pub fn out_of_contact_share(&self) -> f64 {
         let of_all = share(self.out_of_contact, self.machines);
         if self.on_demand == 0 { of_all } else { of_all.min(share(self.on_demand_out_of_contact, self.on_demand)) }
@@ -54,8 +54,8 @@
     pub other_controllers: usize,
     /// Number of other controllers that respond.
     pub responding_controllers: usize,
-    /// Whether this controller recently stepped down for being in a minority and leads again, since no other
-    /// could.
+    /// Whether this controller recently stepped down because it was in a minority, and leads again because no other
+    /// controller could.
     pub stepped_down: bool,
     /// Whether workers are still looking for this new leader, so that missing reports are not evidence yet.
     pub workers_reconnecting: bool,
--- a/crates/failover/src/failover.rs
+++ b/crates/failover/src/failover.rs
@@ -11,15 +11,15 @@
 use crate::zone::{Transition, Zone, ZoneContext};
 use crate::{Name, TaskKey};
 
-/// How long a zone is given no new work after it was suspected. By then it is lost, unless it was a false alarm or
-/// only a part of the zone failed.
+/// How long a zone is given no new work after it became suspect. If it is not lost by then, it was a false alarm
+/// or only a part of the zone failed.
 const SUSPECT_PAUSE: Duration = Duration::from_secs(5);
-/// Bytes that a zone takes in the record beside its name.
+/// Size of a zone in the record without its name, in bytes.
 const ZONE_BYTES: usize = 160;
-/// Bytes that a machine takes in the record beside its name.
+/// Size of a machine in the record without its name, in bytes.
 const MACHINE_BYTES: usize = 4;
 
-/// Whether a zone accepts new work.
+/// How much new work a zone accepts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Access {
     /// As much as fits.
@@ -27,7 +27,7 @@
     Open,
     /// As much as its ramp admits.
     Ramped,
-    /// None for the moment; its machines still count as capacity.
+    /// None for the moment, but its machines still count as capacity.
     Paused,
     /// None, and its machines don't count as capacity.
     Closed,
@@ -123,15 +123,17 @@
         if fleet.zones.len() < 2 || zones_with_machines == 0 {
             return observation;
         }
-        let out_of_contact = |view: &&ZoneView| view.out_of_contact_share() >= self.settings.suspect_share;
-        let any_in_contact = fleet.zones.values().filter(|view| view.machines > 0).any(|view| !out_of_contact(&view));
+        let mostly_out_of_contact = |view: &&ZoneView| view.out_of_contact_share() >= self.settings.suspect_share;
+        let any_in_contact =
+            fleet.zones.values().filter(|view| view.machines > 0).any(|view| !mostly_out_of_contact(&view));
         let machines: usize = fleet.zones.values().map(|view| view.machines).sum();
-        let machines_out: usize = fleet.zones.values().filter(out_of_contact).map(|view| view.out_of_contact).sum();
+        let machines_out: usize =
+            fleet.zones.values().filter(mostly_out_of_contact).map(|view| view.out_of_contact).sum();
         let isolated = fleet.other_controllers > 0 && fleet.responding_controllers == 0;
         let in_minority = machines_out * 2 > machines && isolated && !fleet.workers_reconnecting;
         observation.minority = in_minority && !fleet.stepped_down;
         let can_judge = !fleet.workers_reconnecting && any_in_contact && !observation.minority;
-        // A new leader may know a zone from the record only.
+        // A new leader may know a zone only from the record.
         let names: BTreeSet<&String> = fleet.zones.keys().chain(self.zones.keys()).collect();
         for name in names.into_iter().cloned().collect::<Vec<_>>() {
             let view = &fleet.zones.get(&name).copied().unwrap_or_default();
@@ -166,19 +168,19 @@
     /// time limit has passed, so that later tiers do not wait forever.
     fn update_evacuation(&mut self, now: Instant, fleet: &FleetView) -> Option<Evacuation> {
         let limit = self.settings.max_evacuation;
-        let recently_lost = |zone: &Zone| zone.lost_at().is_some_and(|at| now.saturating_duration_since(at) < limit);
-        let unhealthy = |zone: &Zone| matches!(zone.state(), ZoneState::Lost | ZoneState::Returning);
-        let recent: Vec<&String> = self
+        let is_recent_loss = |zone: &Zone| zone.lost_at().is_some_and(|at| now.saturating_duration_since(at) < limit);
+        let is_lost_or_returning = |zone: &Zone| matches!(zone.state(), ZoneState::Lost | ZoneState::Returning);
+        let recently_lost_zones: Vec<&String> = self
             .zones
             .iter()
-            .filter(|(_, zone)| unhealthy(zone) && recently_lost(zone))
+            .filter(|(_, zone)| is_lost_or_returning(zone) && is_recent_loss(zone))
             .map(|(name, _)| name)
             .collect();
-        let more_expected = recent.iter().any(|name| {
+        let more_will_be_displaced = recently_lost_zones.iter().any(|name| {
             let lost = self.zones[*name].state() == ZoneState::Lost;
             lost && fleet.zones.get(*name).is_some_and(|view| view.tasks_out_of_contact > 0)
         });
-        let should_evacuate = !recent.is_empty() && (more_expected || !self.displaced.is_empty());
+        let should_evacuate = !recently_lost_zones.is_empty() && (more_will_be_displaced || !self.displaced.is_empty());
         match (should_evacuate, &self.evacuation) {
             (true, None) => {
                 let tiers = vec![TierCount::default(); self.settings.tier_count()];
@@ -229,12 +231,12 @@
         }
     }
 
-    /// Whether a task of a class may be restarted because of its zone, after `reruns` such restarts.
+    /// Whether a task of a class may be restarted because of a zone failure after `reruns` such restarts.
     pub fn may_rerun(&self, class: &str, reruns: u32) -> bool {
         self.settings.max_reruns.get(class).is_none_or(|max| reruns < *max)
     }
 
-    /// Returns whether a zone accepts new work.
+    /// Returns how much new work a zone accepts.
     pub fn access(&self, now: Instant, zone: &str) -> Access {
         if self.settings.excluded_zones.contains(zone) {
             return Access::Closed;
@@ -250,7 +252,7 @@
         }
     }
 
-    /// Whether the ramp of a zone admits work for this many CPUs now.
+    /// Whether the ramp of a zone, if it has one, admits work for this many CPUs now.
     pub fn admits(&self, zone: &str, cpus: f64) -> bool {
         self.zones.get(zone).and_then(Zone::ramp).is_none_or(|ramp| ramp.admits(cpus))
     }
@@ -302,7 +304,7 @@
         self.unwritten
     }
 
-    /// Marks the record to be written, since its last write failed or is in doubt.
+    /// Marks the record to be written, because its last write failed or has an unknown outcome.
     pub fn mark_unwritten(&mut self) {
         self.unwritten = true;
     }
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -2,9 +2,8 @@
 //!
 //! The scheduler's core passes its observations of each zone to a [`Failover`] and asks it which zones accept
 //! work, in which order tasks are placed while a zone is evacuated, and how fast a returned zone is given work
-//! again. The core alone sends orders and writes records. Failover never proves that a task is gone from a
-//! machine: the state of a zone changes only the order and rate of placement, and the core still requires that
-//! proof. See `docs/failover.md` for the design.
+//! again. The core alone sends orders and writes records. The state of a zone changes only the order and rate
+//! of placement. It is no proof that a task is gone from a machine, which the core still requires. See `docs/failover.md` for the design.
 
 #![warn(missing_docs)]
 
--- a/crates/failover/src/penalty.rs
+++ b/crates/failover/src/penalty.rs
@@ -3,7 +3,7 @@
 
 use std::time::{Duration, Instant};
 
-/// A penalty that halves in each half-life.
+/// A penalty that is halved after each half-life.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Penalty {
     /// The value at the time `at`.
@@ -32,7 +32,7 @@
         *self = Penalty::new(self.value(now, half_life) + PENALTY_PER_LOSS, now);
     }
 
-    /// Returns the flap factor: by how much probation is longer, and the ramp slower, than after a single loss.
+    /// Returns the flap factor, by which probation is longer and the ramp slower than after a single loss.
     pub fn factor(&self, now: Instant, half_life: Duration) -> f64 {
         (self.value(now, half_life) - PENALTY_PER_LOSS).exp2().max(1.0)
     }
--- a/crates/failover/src/ramp.rs
+++ b/crates/failover/src/ramp.rs
@@ -1,17 +1,18 @@
-//! Admission control for a zone that has returned: a token bucket of CPUs. Its rate doubles with each good
-//! step and is halved when starts in the zone fail.
+//! Admission control for a zone that has returned: a token bucket of CPUs. Its rate doubles with each step in
+//! which nearly all machines report, and is halved when too many starts in the zone are lost.
 
 use std::time::{Duration, Instant};
 
 use crate::settings::Settings;
 
-/// The bucket holds at most the tokens of this many seconds.
+/// Capacity of the bucket, as the number of seconds in which it fills.
 const MAX_BURST_S: f64 = 1.0;
-/// Rate from which on admission is unlimited: all of the zone's CPUs each second.
+/// Admission is unlimited from this rate on: all of the zone's CPUs each second.
 const UNLIMITED_RATE: f64 = 1.0;
-/// A flap factor divides the first rate by this power of itself, while it only multiplies the length of steps.
+/// The first rate is divided by the flap factor raised to this power. The length of steps is multiplied by the
+/// flap factor itself.
 const FIRST_RATE_EXPONENT: i32 = 2;
-/// A step is bad if more than this share of its starts was lost.
+/// The rate is halved after a step in which more than this share of the starts was lost.
 const MAX_LOST_STARTS_SHARE: f64 = 0.1;
 
 /// Limits how fast a zone that has returned is given new work.
@@ -64,15 +65,15 @@
         self.lost += 1;
     }
 
-    /// Advances time in a zone with this many CPUs; `mostly_reporting` if nearly all of its machines report in
-    /// time.
+    /// Advances time in a zone with this many CPUs. `mostly_reporting` tells whether nearly all of its machines
+    /// report in time.
     pub fn tick(&mut self, now: Instant, cpus: f64, largest_machine_cpus: f64, mostly_reporting: bool) {
         if self.is_open() {
             return;
         }
         let elapsed_s = now.saturating_duration_since(self.filled_at).as_secs_f64();
         self.filled_at = now;
-        // The bucket holds at least a task as large as a machine, which would never be admitted otherwise.
+        // The capacity allows at least a task as large as a machine, which would never be admitted otherwise.
         let capacity = (self.rate * cpus * MAX_BURST_S).max(largest_machine_cpus);
         self.tokens = (self.tokens + self.rate * cpus * elapsed_s).min(capacity);
         if now.saturating_duration_since(self.step_began) >= self.step {
@@ -82,8 +83,8 @@
 
     fn take_step(&mut self, now: Instant, mostly_reporting: bool) {
         let starts = f64::from(self.confirmed + self.lost);
-        let loses_starts = f64::from(self.lost) > starts * MAX_LOST_STARTS_SHARE;
-        match (loses_starts, mostly_reporting) {
+        let lost_too_many = f64::from(self.lost) > starts * MAX_LOST_STARTS_SHARE;
+        match (lost_too_many, mostly_reporting) {
             (true, _) => self.rate = (self.rate / 2.0).max(self.first_rate),
             (false, true) => self.rate *= 2.0,
             // The rate stays until nearly all machines report.
--- a/crates/failover/src/record.rs
+++ b/crates/failover/src/record.rs
@@ -1,9 +1,9 @@
 //! The durable form of failover state: one value in the state service. It is written in the same transactions
-//! as the log of placements, so that no placement of evacuated tasks is durable before the episode that it
-//! belongs to.
+//! as the log of placements, so that an evacuated task's new placement is never durable before the episode to
+//! which it belongs.
 //!
-//! Versions of the scheduler without failover leave the key alone, so the value may be stale: states are judged
-//! again on fresh evidence, and penalties decay by wall-clock time.
+//! Versions of the scheduler without failover leave the key alone, so the value may be stale. Therefore states
+//! are judged again on new evidence, and penalties decay by wall-clock time.
 
 use serde::{Deserialize, Serialize};
 
@@ -31,11 +31,11 @@
     pub zone: String,
     /// State of the zone.
     pub state: ZoneState,
-    /// Wall-clock time at which the zone entered its state, in milliseconds since 1970.
+    /// Wall-clock time at which the zone entered its state, in milliseconds since the Unix epoch.
     pub since_ms: u64,
     /// Number of evacuations of the zone.
     pub episode: u64,
-    /// Wall-clock time of the last loss, in milliseconds since 1970.
+    /// Wall-clock time of the last loss, in milliseconds since the Unix epoch.
     pub lost_ms: u64,
     /// The flap penalty just after the last loss.
     pub penalty: f64,
@@ -44,10 +44,10 @@
 /// Machines that were being drained, by reason.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainedMachines {
-    /// Machines that were being retired since there was excess capacity.
+    /// Machines that were being retired because there was excess capacity.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub retiring: Vec<String>,
-    /// Machines that were quarantined since the tasks that they started failed.
+    /// Machines that were quarantined because the tasks that they started failed.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub quarantined: Vec<String>,
     /// Machines that were slow for their level.
--- a/crates/failover/src/sample.rs
+++ b/crates/failover/src/sample.rs
@@ -5,15 +5,15 @@
 
 /// Machines of a zone that must have been probed before the zone can be considered partitioned.
 const MIN_PROBES_PER_ZONE: usize = 6;
-/// Numerator and denominator of the share of failed calls from which on this node itself is unreachable.
-const MOST_CALLS: (usize, usize) = (4, 5);
+/// Share of failed calls, as numerator and denominator, from which on this node itself is likely unreachable.
+const UNREACHABLE_NODE_SHARE: (usize, usize) = (4, 5);
 
-/// A number of machines, and of the ordinary (non-spot) ones among them.
+/// A number of machines, and of the on-demand machines among them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MachineCounts {
     /// All machines.
     pub all: usize,
-    /// Machines that the cloud does not reclaim.
+    /// On-demand machines, which the cloud does not reclaim.
     pub on_demand: usize,
 }
 
@@ -42,8 +42,8 @@
 }
 
 impl SurveySample {
-    /// Adds a machine that was probed: `unresponsive` if it does not report either, `call_failed` if it did not
-    /// respond, whether or not it reports.
+    /// Adds a machine that was probed. `call_failed` tells whether it did not respond, and `unresponsive` whether it
+    /// does not report either.
     pub fn add_result(&mut self, zone: &str, spot: bool, unresponsive: bool, call_failed: bool) {
         let tally = self.zones.entry(zone.to_owned()).or_default();
         tally.probed += 1;
@@ -75,6 +75,7 @@
 
     /// Whether so many calls failed that this node is likely unreachable, rather than the machines.
     pub fn most_calls_failed(&self) -> bool {
-        self.probed.all > 0 && self.calls_failed * MOST_CALLS.1 >= self.probed.all * MOST_CALLS.0
+        self.probed.all > 0
+            && self.calls_failed * UNREACHABLE_NODE_SHARE.1 >= self.probed.all * UNREACHABLE_NODE_SHARE.0
     }
 }
--- a/crates/failover/src/settings.rs
+++ b/crates/failover/src/settings.rs
@@ -26,7 +26,7 @@
     pub suspect_share: f64,
     /// Share of a zone's machines that must be out of contact for the zone to be lost.
     pub lost_share: f64,
-    /// How long that share must be out of contact, with failed calls, before the zone is lost.
+    /// How long that share must be out of contact, with calls to them failing, before the zone is lost.
     pub lost_confirmation: Duration,
     /// Share of a lost zone's machines that must report in time before the zone is returning.
     pub return_share: f64,
@@ -38,7 +38,7 @@
     pub penalty_half_life: Duration,
     /// Initial share of a returned zone's CPUs that may be given work each second.
     pub ramp_share: f64,
-    /// Time without lost starts after which that share doubles.
+    /// Time after which that share doubles, unless starts were lost.
     pub ramp_step: Duration,
     /// How long unresponsive machines of a lost zone are kept after their leases have expired.
     pub machine_retention: Duration,
--- a/crates/failover/src/state.rs
+++ b/crates/failover/src/state.rs
@@ -11,8 +11,8 @@
     Healthy,
     /// A considerable share of its machines may be unreachable.
     Suspect,
-    /// It is unreachable: its tasks are placed elsewhere once they are proven gone from its machines.
+    /// It is unreachable. Its tasks are placed elsewhere once they are proven gone from its machines.
     Lost,
-    /// It is reachable again and on probation: it is given new work gradually.
+    /// It is reachable again but on probation, and is given new work gradually.
     Returning,
 }
--- a/crates/failover/src/tiers.rs
+++ b/crates/failover/src/tiers.rs
@@ -15,7 +15,7 @@
     pub guaranteed: bool,
 }
 
-/// Number of tiers for classes that the operators assign to none.
+/// Number of default tiers, for classes that the operators assign to no tier.
 const DEFAULT_TIERS: usize = 4;
 
 impl TierQuery<'_> {
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Whether jobs of a tier avoid zones on probation: those that the operators list, by default the first
-    /// tier.
+    /// Whether jobs of a tier avoid zones on probation. The operators may list such tiers; the default is the first
+    /// tier alone.
     pub fn avoids_probation(&self, tier: usize) -> bool {
         if self.tiers_avoiding_probation.is_empty() {
             return tier == 0;
--- a/crates/failover/src/zone.rs
+++ b/crates/failover/src/zone.rs
@@ -17,8 +17,8 @@
 use crate::settings::Settings;
 use crate::state::ZoneState;
 
-/// Number of machines to which calls must have failed before a zone is lost, unless half of those out of contact
-/// are fewer.
+/// Calls to half of the machines out of contact must have failed before a zone is lost, or to this many machines
+/// if that is fewer.
 const MAX_REQUIRED_CALL_FAILURES: usize = 8;
 /// Share of the machines that must report in time before a step of the ramp may raise its rate.
 const MIN_REPORTING_SHARE: f64 = 0.9;
@@ -40,18 +40,19 @@
     pub evidence: Evidence,
     /// The zone's current episode.
     pub episode: u64,
-    /// Time from the first sign until the transition.
+    /// Time from the first sign of the transition until it happened.
     pub since_first_sign: Duration,
 }
 
-/// Observations of a zone apart from its own machines.
+/// What is known about a zone besides the state of its machines.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ZoneContext {
     /// Whether most of a sample of its machines did not respond.
     pub sampled_partitioned: bool,
     /// Whether a controller in the zone responds.
     pub controller_responds: bool,
-    /// Whether missing contact is evidence against the zone, and not a sign that this node is unreachable.
+    /// Whether lost contact counts as evidence against the zone, rather than as a sign that this node is
+    /// unreachable.
     pub can_judge: bool,
 }
 
@@ -170,7 +171,7 @@
         if view.out_of_contact_share() < settings.suspect_share / HYSTERESIS_FACTOR && !context.sampled_partitioned {
             return Some((ZoneState::Healthy, Evidence::MachinesBack { out, of }));
         }
-        // Late reports alone may be due to a slow network: calls must have failed too.
+        // Late reports alone may be due to a slow network, so calls must have failed too.
         let calls_failed = failed >= out.div_ceil(2).min(MAX_REQUIRED_CALL_FAILURES);
         let share_reached = out >= settings.min_machines && view.out_of_contact_share() >= settings.lost_share;
         if !(calls_failed && share_reached && context.can_judge) {
@@ -216,8 +217,8 @@
         settings: &Settings,
     ) -> Option<(ZoneState, Evidence)> {
         let ZoneView { machines: of, out_of_contact: out, in_time, .. } = *view;
-        let out_of_contact = out >= settings.min_machines && view.out_of_contact_share() >= settings.suspect_share;
-        if out_of_contact && share(in_time, of) < settings.return_share / HYSTERESIS_FACTOR && context.can_judge {
+        let many_out_of_contact = out >= settings.min_machines && view.out_of_contact_share() >= settings.suspect_share;
+        if many_out_of_contact && share(in_time, of) < settings.return_share / HYSTERESIS_FACTOR && context.can_judge {
             return Some((ZoneState::Lost, Evidence::MachinesOut { out, of }));
         }
         let probation_passed = now.saturating_duration_since(self.since) >= self.probation(settings);
@@ -263,7 +264,7 @@
         }
     }
 
-    /// Returns the zone's record, or none if it is healthy and has no significant penalty.
+    /// Returns the zone's record, or `None` if it is healthy and has no significant penalty.
     pub(crate) fn to_record(&self, zone: &str, now: Instant, wall_ms: u64, settings: &Settings) -> Option<ZoneRecord> {
         let current_penalty = self.penalty(now, settings);
         if self.state == ZoneState::Healthy && current_penalty < MIN_RECORDED_PENALTY {
