--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -55,11 +55,11 @@
     /// Deletes a leader key that an earlier incarnation of this node wrote.
     DeleteOwnKey,
     /// Creates the lease of a candidate.
-    Lease { sent: Instant },
+    NewLease { sent_at: Instant },
     /// Writes the leader key.
-    Claim { lease: u64, sent: Instant },
+    Claim { lease: u64, sent_at: Instant },
     /// Renews the leader's lease.
-    RenewLease { sent: Instant },
+    RenewLease { sent_at: Instant },
     /// Ends the lease of a leader or candidate that gives up.
     EndLease,
 }
@@ -78,7 +78,7 @@
     /// Reads the record of zones.
     Failover,
     /// Watches the jobs' records for changes.
-    Watch { sent: Instant },
+    Watch { sent_at: Instant },
     /// Reads the record of a job on which others depend.
     Dependency(Name),
 }
@@ -142,7 +142,7 @@
     /// Creates the records of a job.
     Create(Creation),
     /// Reads a job's record before a submission is refused, since an accepted job must never be refused.
-    Refuse { request: RequestId, job: String, answer: HttpResponse },
+    Refuse { request: RequestId, job: String, response: HttpResponse },
     /// Reads the record of a job that is to be cancelled.
     CancelRead { request: RequestId, job: String },
     /// Records the cancellation of a job.
--- a/crates/core/src/election.rs
+++ b/crates/core/src/election.rs
@@ -48,12 +48,13 @@
             Some(Phase::ReadDue { at }) if *at <= now => self.read_leader_key(),
             // A renewal that hangs isn't waited for: it alone could take most of the lease's duration.
             Some(Phase::Leading { lease, renewal_sent_at, next_renewal_at, .. })
-                if renewal_sent_at.map_or(*next_renewal_at, |sent| sent + self.env.policy.leader_lease / 3) <= now =>
+                if renewal_sent_at.map_or(*next_renewal_at, |sent_at| sent_at + self.env.policy.leader_lease / 3)
+                    <= now =>
             {
                 *renewal_sent_at = Some(now);
                 let lease = *lease;
                 self.env.call_store(
-                    Purpose::Election(ElectionCall::RenewLease { sent: now }),
+                    Purpose::Election(ElectionCall::RenewLease { sent_at: now }),
                     Urgency::Leadership,
                     StoreOp::RenewLease(lease),
                 );
@@ -109,34 +110,34 @@
                 }
             }
             (ElectionCall::DeleteOwnKey, Outcome::Responded(StoreResponse::Committed(_))) => self.campaign(),
-            (ElectionCall::Lease { sent }, Outcome::Responded(StoreResponse::Lease(lease))) => {
+            (ElectionCall::NewLease { sent_at }, Outcome::Responded(StoreResponse::Lease(lease))) => {
                 let value = serde_json::to_value(&self.election.own_record).expect("leader records always encode");
                 let txn = Txn::default().when(LEADER_KEY, 0).put_leased(LEADER_KEY, value, lease);
                 self.env.call_store(
-                    Purpose::Election(ElectionCall::Claim { lease, sent }),
+                    Purpose::Election(ElectionCall::Claim { lease, sent_at }),
                     Urgency::Leadership,
                     StoreOp::Txn(txn),
                 );
             }
-            (ElectionCall::Claim { lease, sent }, Outcome::Responded(StoreResponse::Committed(token))) => {
+            (ElectionCall::Claim { lease, sent_at }, Outcome::Responded(StoreResponse::Committed(token))) => {
                 self.election.leader = Some(Leader { record: self.election.own_record.clone(), version: token });
                 let next_renewal_at = now + self.env.policy.leader_lease / 3;
                 self.election.phase =
-                    Some(Phase::Leading { lease, confirmed_at: sent, renewal_sent_at: None, next_renewal_at });
+                    Some(Phase::Leading { lease, confirmed_at: sent_at, renewal_sent_at: None, next_renewal_at });
                 self.begin_term(token);
             }
             (ElectionCall::Claim { lease, .. }, Outcome::Responded(_)) => {
                 self.env.call_store(Purpose::Election(ElectionCall::EndLease), Urgency::Low, StoreOp::EndLease(lease));
                 self.election.schedule_read(now);
             }
-            (ElectionCall::RenewLease { sent }, outcome) => self.renewal_outcome(sent, outcome),
+            (ElectionCall::RenewLease { sent_at }, outcome) => self.renewal_outcome(sent_at, outcome),
             (ElectionCall::EndLease, _) => {}
             // A claim without a response may have been executed, or may still be. Once the key is
             // read with this node's label, it is deleted like that of an earlier incarnation.
             (
                 ElectionCall::Read
                 | ElectionCall::DeleteOwnKey
-                | ElectionCall::Lease { .. }
+                | ElectionCall::NewLease { .. }
                 | ElectionCall::Claim { .. },
                 _,
             ) => {
@@ -148,23 +149,23 @@
     }
 
     /// Handles the outcome of a lease renewal.
-    fn renewal_outcome(&mut self, sent: Instant, outcome: Outcome<StoreResponse>) {
+    fn renewal_outcome(&mut self, sent_at: Instant, outcome: Outcome<StoreResponse>) {
         let now = self.env.steady();
         let ttl = self.env.policy.leader_lease;
         let Some(Phase::Leading { confirmed_at, renewal_sent_at, next_renewal_at, .. }) = &mut self.election.phase
         else {
             return;
         };
-        let newest = *renewal_sent_at == Some(sent);
+        let newest = *renewal_sent_at == Some(sent_at);
         if newest {
             *renewal_sent_at = None;
         }
         match outcome {
             Outcome::Responded(StoreResponse::LeaseOk) => {
-                *confirmed_at = sent.max(*confirmed_at);
-                *next_renewal_at = sent + ttl / 3;
+                *confirmed_at = sent_at.max(*confirmed_at);
+                *next_renewal_at = sent_at + ttl / 3;
                 if let Some(term) = &mut self.term
-                    && term.lease_renewed(sent, ttl, &self.env.facts)
+                    && term.lease_renewed(sent_at, ttl, &self.env.facts)
                 {
                     self.step_down("the lease is renewed, but cancellations cannot be read");
                     self.election.delay_candidacy(now, CANDIDACY_PAUSE);
@@ -243,9 +244,9 @@
         }
         self.election.phase = Some(Phase::CallPending);
         let ttl_ms = self.env.policy.leader_lease.as_millis() as u64;
-        let sent = self.env.steady();
+        let sent_at = self.env.steady();
         self.env.call_store(
-            Purpose::Election(ElectionCall::Lease { sent }),
+            Purpose::Election(ElectionCall::NewLease { sent_at }),
             Urgency::Leadership,
             StoreOp::NewLease { ttl_ms },
         );
--- a/crates/core/src/facts.rs
+++ b/crates/core/src/facts.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub struct Objective {
     /// The measure, such as `finished` or `wait`.
-    pub kind: String,
+    pub measure: String,
     /// The class of jobs; all classes if there is none.
     pub class: Option<String>,
     /// The time allowed.
--- a/crates/core/src/failover.rs
+++ b/crates/core/src/failover.rs
@@ -92,7 +92,7 @@
                 zone_states.insert(machine.zone.clone(), (failover.access(now, &machine.zone), unhealthy));
             }
             let (access, unhealthy) = zone_states[&machine.zone];
-            machine.access = access;
+            machine.zone_access = access;
             machine.zone_unhealthy = unhealthy;
             keep_draining(failover, machine);
         }
@@ -169,7 +169,7 @@
 
     /// Whether the machine's zone takes a task of this size now: a returning zone is filled at a limited rate.
     pub fn zone_admits(&self, machine: &Machine, need: Resources) -> bool {
-        machine.access != Access::Ramped
+        machine.zone_access != Access::Ramped
             || self.failover.as_ref().is_none_or(|failover| failover.admits(&machine.zone, need.cpus))
     }
 
@@ -301,17 +301,17 @@
         // Not once the machine is suspect: it may then be retiring only because it is unreachable.
         if !machine.suspect && machine.failed_calls() == 0 {
             let (retiring, quarantined, straggling) = (machine.retiring, machine.quarantined, machine.straggler);
-            machine.drain = DrainReasons { retiring, quarantined, straggling };
+            machine.drain_reasons = DrainReasons { retiring, quarantined, straggling };
         }
         return;
     }
-    if !machine.drain.any() {
-        machine.drain = failover.recorded_drain(&machine.name);
+    if !machine.drain_reasons.any() {
+        machine.drain_reasons = failover.recorded_drain(&machine.name);
     }
-    failover.record_drain(&machine.name, machine.drain);
-    machine.quarantined |= machine.drain.quarantined;
-    machine.retiring |= machine.drain.retiring;
-    machine.straggler |= machine.drain.straggling;
+    failover.record_drain(&machine.name, machine.drain_reasons);
+    machine.quarantined |= machine.drain_reasons.quarantined;
+    machine.retiring |= machine.drain_reasons.retiring;
+    machine.straggler |= machine.drain_reasons.straggling;
 }
 
 /// Logs a change of a zone's state.
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -85,7 +85,7 @@
     /// Applies changed machine types to all machines.
     pub fn update_machine_types(&mut self, env: &Env) {
         for machine in self.machines.values_mut() {
-            let kind = env.machine_type(&machine.kind);
+            let kind = env.machine_type(&machine.type_name);
             machine.apply_type(kind);
         }
     }
@@ -129,8 +129,8 @@
             let known = now.checked_sub(age).unwrap_or(now);
             Machine { known_since: known, ..Machine::new(name.clone(), now) }
         });
-        if machine.kind.is_empty() {
-            machine.kind = listed.kind.clone();
+        if machine.type_name.is_empty() {
+            machine.type_name = listed.kind.clone();
             machine.zone = listed.zone.clone();
             self.zones.insert(listed.zone.clone());
             machine.spot = listed.spot;
@@ -144,7 +144,7 @@
             machine.up = true;
             machine.last_heard = now;
             machine.last_reported = now;
-            self.call_soon(&name);
+            self.queue_direct_call(&name);
         }
     }
 }
--- a/crates/core/src/fleet/lease.rs
+++ b/crates/core/src/fleet/lease.rs
@@ -14,10 +14,10 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaseBounds {
     /// Time from which no earlier leader responds to any worker.
-    pub(super) previous_leaders_end: Instant,
+    pub(super) predecessors_inactive_at: Instant,
     /// When this leader last responded to a report before its records were loaded. The report may
     /// have come from any worker.
-    pub(super) last_unrecorded_response: Option<Instant>,
+    pub(super) last_response_before_load: Option<Instant>,
     /// Duration of a worker's lease.
     pub(super) lease: Duration,
 }
@@ -25,12 +25,14 @@
 impl LeaseBounds {
     /// Returns when the worker's lease is certain to have expired if there are no further responses.
     pub(super) fn expires_at(&self, machine: &Machine) -> Instant {
-        let last_renewal = match (machine.fenced, machine.last_response) {
+        let last_renewal = match (machine.fenced_at, machine.last_response) {
             // A fenced worker ignores responses of earlier leaders.
-            (Some(fenced), renewed) => renewed.map_or(fenced, |at| at.max(fenced)),
-            (None, renewed) => renewed.map_or(self.previous_leaders_end, |at| at.max(self.previous_leaders_end)),
+            (Some(fenced_at), renewed) => renewed.map_or(fenced_at, |at| at.max(fenced_at)),
+            (None, renewed) => {
+                renewed.map_or(self.predecessors_inactive_at, |at| at.max(self.predecessors_inactive_at))
+            }
         };
-        self.last_unrecorded_response.map_or(last_renewal, |at| last_renewal.max(at))
+        self.last_response_before_load.map_or(last_renewal, |at| last_renewal.max(at))
             + self.lease.mul_f64(CLOCK_DRIFT_FACTOR)
             + EXPIRY_MARGIN
     }
--- a/crates/core/src/fleet/liveness.rs
+++ b/crates/core/src/fleet/liveness.rs
@@ -69,7 +69,7 @@
     pub fn check_liveness(&mut self, env: &mut Env) {
         let now = env.steady();
         let mut findings = self.collect_findings(env);
-        std::mem::take(&mut findings.calls_due).iter().for_each(|name| self.call_soon(name));
+        std::mem::take(&mut findings.calls_due).iter().for_each(|name| self.queue_direct_call(name));
         for name in std::mem::take(&mut findings.leases_expired) {
             self.handle_expired_lease(env, &name);
         }
@@ -113,7 +113,7 @@
                 machine.reservation = None;
             }
             let unheard_for = now.duration_since(machine.last_heard);
-            let never_reached = machine.fenced.is_none() && machine.failed_probes > 0;
+            let never_reached = machine.fenced_at.is_none() && machine.failed_probes > 0;
             findings.overdue += usize::from(unheard_for > overdue_after);
             findings.unheard += usize::from(unheard_for > overdue_after + PROBE_TIMEOUT);
             findings.never_reached += usize::from(never_reached);
@@ -128,7 +128,7 @@
                 findings.reports_missing.push(machine.name.clone());
             }
             if machine.direct_call.is_none() && machine.next_call_at.is_none_or(|at| at <= now) {
-                let needs_fencing = machine.fenced.is_none() && (fence_all_directly || machine.hosts_service());
+                let needs_fencing = machine.fenced_at.is_none() && (fence_all_directly || machine.hosts_service());
                 if std::mem::take(&mut machine.call_postponed) || needs_fencing || machine.failed_calls > 0 {
                     findings.calls_due.push(machine.name.clone());
                 }
@@ -259,8 +259,8 @@
     /// Returns the present bounds on the leases of all workers.
     pub(super) fn lease_bounds(&self, env: &Env) -> LeaseBounds {
         LeaseBounds {
-            previous_leaders_end: self.predecessors_inactive_at,
-            last_unrecorded_response: self.last_response_before_load,
+            predecessors_inactive_at: self.predecessors_inactive_at,
+            last_response_before_load: self.last_response_before_load,
             lease: env.facts.worker_lease,
         }
     }
@@ -274,7 +274,7 @@
 /// Whether a machine has been unheard for so long, with failed direct calls, that it may be released.
 fn is_unresponsive(machine: &Machine, unheard_for: Duration, overdue_after: Duration, release_after: Duration) -> bool {
     // A machine that a new leader never reached has no report that could be overdue.
-    let min_silence = if machine.fenced.is_some() { overdue_after + PROBE_TIMEOUT } else { PROBE_TIMEOUT * 2 };
+    let min_silence = if machine.fenced_at.is_some() { overdue_after + PROBE_TIMEOUT } else { PROBE_TIMEOUT * 2 };
     let probes_exhausted = machine.failed_probes >= FAILED_PROBES_BEFORE_RELEASE && unheard_for > min_silence;
     // Direct calls are limited, so a machine that has not been called yet may be alive.
     let called = machine.failed_probes > 0 || machine.addr.is_empty();
--- a/crates/core/src/fleet/machine.rs
+++ b/crates/core/src/fleet/machine.rs
@@ -39,7 +39,7 @@
     /// Address of its worker for direct calls; empty while unknown.
     pub addr: String,
     /// Name of its machine type.
-    pub kind: String,
+    pub type_name: String,
     pub zone: String,
     /// Whether the cloud may reclaim it at short notice.
     pub spot: bool,
@@ -76,7 +76,7 @@
     /// Session whose lease is certain to have expired.
     pub(super) expired_session: Option<u64>,
     /// When it first showed this leader's token, which makes it ignore earlier leaders.
-    pub(super) fenced: Option<Instant>,
+    pub(super) fenced_at: Option<Instant>,
     /// When its worker last showed that it is alive, by a report or a response to a direct call.
     pub last_heard: Instant,
     /// When it last reported, or when this leader first knew the machine.
@@ -96,7 +96,7 @@
     /// Exited tasks that the worker still lists.
     pub(super) exited: BTreeMap<Attempt, TaskKey>,
     /// Attempts that the worker lists but that are not placed on it, and whether each has exited.
-    pub(super) unexpected: Vec<(Attempt, bool)>,
+    pub(super) unexpected_attempts: Vec<(Attempt, bool)>,
     /// Images assumed to be cached on it.
     pub images: ImageCache,
     /// It is being released, or is about to be.
@@ -128,15 +128,15 @@
     /// Its tasks run slower than elsewhere.
     pub straggler: bool,
     /// When its straggler value was last too high.
-    pub last_straggling: Option<Instant>,
+    pub last_straggling_at: Option<Instant>,
     /// Its eSplash level.
     pub level: usize,
     /// Whether its zone takes new work.
-    pub access: Access,
+    pub zone_access: Access,
     /// Its zone is not healthy, so the drain reasons recorded when that was detected still apply.
     pub zone_unhealthy: bool,
     /// Reasons for which it was being drained at that time.
-    pub drain: DrainReasons,
+    pub drain_reasons: DrainReasons,
 }
 
 impl Machine {
@@ -145,7 +145,7 @@
         Machine {
             name,
             addr: String::new(),
-            kind: String::new(),
+            type_name: String::new(),
             zone: String::new(),
             spot: false,
             up: false,
@@ -164,7 +164,7 @@
             call_postponed: false,
             service_replicas: 0,
             expired_session: None,
-            fenced: None,
+            fenced_at: None,
             last_heard: now,
             last_reported: now,
             report_gap: None,
@@ -174,7 +174,7 @@
             next_call_at: None,
             unresolved_starts: BTreeSet::new(),
             exited: BTreeMap::new(),
-            unexpected: Vec::new(),
+            unexpected_attempts: Vec::new(),
             images: ImageCache::default(),
             releasing: false,
             release_sent: None,
@@ -189,11 +189,11 @@
             full_until: None,
             reservation: None,
             straggler: false,
-            last_straggling: None,
+            last_straggling_at: None,
             level: 0,
-            access: Access::Open,
+            zone_access: Access::Open,
             zone_unhealthy: false,
-            drain: DrainReasons::default(),
+            drain_reasons: DrainReasons::default(),
         }
     }
 
@@ -205,7 +205,7 @@
     /// Returns a machine that was rented but is not yet up.
     pub fn rented(name: Name, machine_type: &MachineType, zone: &str, spot: bool, now: Instant) -> Machine {
         let mut machine =
-            Machine { kind: machine_type.name.clone(), zone: zone.into(), spot, ..Machine::new(name, now) };
+            Machine { type_name: machine_type.name.clone(), zone: zone.into(), spot, ..Machine::new(name, now) };
         machine.apply_type(Some(machine_type));
         machine
     }
@@ -215,7 +215,7 @@
         tracing::debug!(machine = &*self.name, after_s = now.duration_since(self.known_since).as_secs(), "up");
         self.up = true;
         self.idle_since.get_or_insert(now);
-        self.kind = report.kind.clone();
+        self.type_name = report.kind.clone();
         self.zone = report.zone.clone();
         self.spot = report.spot;
         self.apply_type(machine_type);
@@ -254,7 +254,7 @@
 
     /// Whether its worker has shown this leader's token, and so which tasks it runs.
     pub fn is_fenced(&self) -> bool {
-        self.fenced.is_some()
+        self.fenced_at.is_some()
     }
 
     /// Whether a recent report of its worker got a response, which renews its lease.
@@ -266,13 +266,13 @@
     /// Whether tasks may be placed here.
     pub fn is_schedulable(&self, now: Instant) -> bool {
         self.up
-            && self.fenced.is_some()
+            && self.fenced_at.is_some()
             && !self.releasing
             && !self.suspect
             && self.failed_calls == 0
             && !self.reports_missing
             && !self.quarantined
-            && matches!(self.access, Access::Open | Access::Ramped)
+            && matches!(self.zone_access, Access::Open | Access::Ramped)
             && self.reclaimed_at.is_none()
             && self.full_until.is_none_or(|until| until <= now)
     }
@@ -283,13 +283,13 @@
         let unresponsive = (self.suspect && self.failed_probes > 0)
             || self.failed_calls >= UNUSABLE_AFTER_FAILED_CALLS
             || self.reports_missing;
-        let takes_tasks = !unresponsive && !self.quarantined && self.access != Access::Closed;
+        let takes_tasks = !unresponsive && !self.quarantined && self.zone_access != Access::Closed;
         !self.releasing && takes_tasks && self.reclaimed_at.is_none() && !self.unverified
     }
 
     /// Whether it was being drained for this reason when its zone became suspect.
     pub fn was_drained_for(&self, reason: fn(DrainReasons) -> bool) -> bool {
-        self.zone_unhealthy && reason(self.drain)
+        self.zone_unhealthy && reason(self.drain_reasons)
     }
 
     /// Whether responses to its reports are certain to reach its worker. The worker keeps one report in flight at a
@@ -305,7 +305,7 @@
 
     /// Whether its zone takes all work that fits.
     pub fn in_open_zone(&self) -> bool {
-        self.access == Access::Open
+        self.zone_access == Access::Open
     }
 
     /// Number of service replicas placed on it.
--- a/crates/core/src/fleet/orders.rs
+++ b/crates/core/src/fleet/orders.rs
@@ -41,7 +41,7 @@
             Outcome::Responded(_) => StopEvent::Refused,
             _ => StopEvent::Lost,
         };
-        self.stops.record(event, call.cancelled_stops);
+        self.stop_statistics.record(event, call.cancelled_stops);
         match outcome {
             Outcome::Responded((status, report)) if report.machine == **name => {
                 if status == 409 {
@@ -64,12 +64,12 @@
                 let Some(machine) = self.machines.get_mut(name) else {
                     return;
                 };
-                if status == 409 && machine.fenced.is_some() {
+                if status == 409 && machine.fenced_at.is_some() {
                     machine.next_call_at = Some(now + DIRECT_CALL_RETRY_DELAY / 4);
                     machine.call_postponed = true;
-                } else if machine.fenced.is_none() || std::mem::take(&mut machine.call_postponed) {
+                } else if machine.fenced_at.is_none() || std::mem::take(&mut machine.call_postponed) {
                     // This leader did not know the session and now does, or new orders came up meanwhile.
-                    self.call_soon(name);
+                    self.queue_direct_call(name);
                 }
             }
             outcome => {
@@ -89,10 +89,10 @@
         let Some(machine) = self.machines.get_mut(name) else {
             return message;
         };
-        if machine.fenced.is_none() || !machine.orders_due {
+        if machine.fenced_at.is_none() || !machine.orders_due {
             return message;
         }
-        let mut orders_remain = !machine.unexpected.is_empty() || !machine.exited.is_empty();
+        let mut orders_remain = !machine.unexpected_attempts.is_empty() || !machine.exited.is_empty();
         for key in &machine.tasks {
             let place = self.jobs.get_mut(&key.0).and_then(|job| job.placements.get_mut(&key.1)).expect("placed");
             orders_remain |= !place.stage.is_reported() || place.stop.is_some();
@@ -113,16 +113,17 @@
         let machine = &self.machines[name];
         let resolved = |attempt: &Attempt| channel == Channel::Report && !machine.may_still_start(attempt);
         let forget = |(task, attempt): &Attempt| Order::Forget { task: task.clone(), attempt: *attempt };
-        let unexpected = machine.unexpected.iter().filter(|(attempt, exited)| *exited && resolved(attempt));
-        let unexpected = unexpected.map(|(attempt, _)| forget(attempt));
-        orders.extend(unexpected.take(MAX_ORDERS_PER_MESSAGE.saturating_sub(orders.len())));
+        let unexpected_attempts =
+            machine.unexpected_attempts.iter().filter(|(attempt, exited)| *exited && resolved(attempt));
+        let unexpected_attempts = unexpected_attempts.map(|(attempt, _)| forget(attempt));
+        orders.extend(unexpected_attempts.take(MAX_ORDERS_PER_MESSAGE.saturating_sub(orders.len())));
         let durable = |(attempt, key): &(&Attempt, &TaskKey)| resolved(attempt) && self.records.is_durable(key);
         let exited = machine.exited.iter().filter(durable).map(|(attempt, _)| forget(attempt));
         orders.extend(exited.take(MAX_ORDERS_PER_MESSAGE.saturating_sub(orders.len())));
     }
 
     /// Queues a direct call to a machine that needs orders, or the token, before its next report.
-    pub fn call_soon(&mut self, name: &Name) {
+    pub fn queue_direct_call(&mut self, name: &Name) {
         if let Some(machine) = self.machines.get(name) {
             self.machines_to_call.insert((machine.call_reason(), name.clone()));
         }
@@ -130,7 +131,7 @@
 
     /// Makes the queued direct calls, those to machines with services first, as many as the limit
     /// on concurrent calls allows.
-    pub fn make_calls(&mut self, env: &mut Env) {
+    pub fn make_direct_calls(&mut self, env: &mut Env) {
         let now = env.steady();
         while self.available_direct_calls(env) > 0 {
             let Some((_, name)) = self.machines_to_call.pop_first() else {
@@ -146,7 +147,7 @@
                 machine.call_postponed = true;
                 continue;
             }
-            let probe = machine.fenced.is_none() || machine.failed_calls > 0;
+            let probe = machine.fenced_at.is_none() || machine.failed_calls > 0;
             let MachineOrders { orders, .. } = self.orders_for(now, &name, Channel::Direct);
             if orders.is_empty() && !probe {
                 continue;
@@ -159,7 +160,7 @@
     pub(super) fn start_direct_call(&mut self, env: &mut Env, name: &Name, orders: Vec<Order>) {
         self.direct_call_started();
         let cancelled_stops = self.count_cancelled_stops(&orders);
-        self.stops.record(StopEvent::SentByCall, cancelled_stops);
+        self.stop_statistics.record(StopEvent::SentInCall, cancelled_stops);
         let machine = self.machines.get_mut(name).expect("known");
         let starts = orders.iter().filter_map(|order| match order {
             Order::Start { task, attempt } => Some((task.clone(), *attempt)),
--- a/crates/core/src/fleet/reports.rs
+++ b/crates/core/src/fleet/reports.rs
@@ -56,7 +56,7 @@
             self.stops_while_loading(&report, tasks)?
         };
         if message.stops_omitted {
-            self.call_soon(&name);
+            self.queue_direct_call(&name);
             return Some(HttpResponse::later(503, "its stops do not fit into an answer"));
         }
         self.note_response(now, &name, report_number, &message.orders);
@@ -69,7 +69,7 @@
         if cancelled_stops > 0 {
             tracing::debug!(machine = &**name, token = self.token, seen = ?report_number, cancelled_stops, "response with stops");
         }
-        self.stops.record(StopEvent::SentInResponse, cancelled_stops);
+        self.stop_statistics.record(StopEvent::SentInResponse, cancelled_stops);
         let ready = self.ready();
         if !ready {
             self.last_response_before_load = Some(now);
@@ -130,7 +130,7 @@
             && machine.tasks_digest == Some(digest)
             && machine.session == report.session
             && machine.seq < report.seq
-            && machine.fenced.is_some()
+            && machine.fenced_at.is_some()
             && report.token >= self.token
             && report.notice_s.is_none()
             && (machine.addr == report.addr || matches!(tasks, ReportedTasks::Digest(_)))
@@ -168,7 +168,7 @@
             return false;
         }
         machine.tasks_digest = None;
-        if !machine.up || machine.kind != report.kind {
+        if !machine.up || machine.type_name != report.kind {
             machine.mark_up(now, report, env.machine_type(&report.kind));
             self.zones.insert(report.zone.clone());
             self.scheduling_due = true;
@@ -179,7 +179,12 @@
         let renewed = machine
             .last_response
             .is_some_and(|at| now.duration_since(at) < env.facts.worker_lease.mul_f64(RENEWED_LEASE_SHARE));
-        if new_session && renewed && channel == Channel::Report && machine.fenced.is_some() && !machine.responses_lost {
+        if new_session
+            && renewed
+            && channel == Channel::Report
+            && machine.fenced_at.is_some()
+            && !machine.responses_lost
+        {
             // Its lease expired although its reports got responses, so these do not reach it. It
             // gets no work and is released. Its tasks are placed again once the release is
             // confirmed, or once its new session shows that they have stopped.
@@ -193,8 +198,8 @@
             self.show_token(env, name, report, channel);
             return false;
         }
-        let was_fenced = machine.fenced.is_some();
-        machine.fenced.get_or_insert(now);
+        let was_fenced = machine.fenced_at.is_some();
+        machine.fenced_at.get_or_insert(now);
         machine.unverified = false;
         if new_session && was_fenced {
             self.handle_new_session(env, name);
@@ -209,20 +214,20 @@
     /// cancelled jobs.
     fn show_token(&mut self, env: &Env, name: &Name, report: &Report, channel: Channel) {
         let cancelled = self.attempts_of_cancelled_jobs(&report.tasks).into_iter();
-        let unexpected = cancelled.map(|attempt| (attempt, false)).collect();
-        self.machines.get_mut(name).expect("reported").unexpected = unexpected;
+        let unexpected_attempts = cancelled.map(|attempt| (attempt, false)).collect();
+        self.machines.get_mut(name).expect("reported").unexpected_attempts = unexpected_attempts;
         let leading_for = env.steady().duration_since(self.started_at);
         let response_suffices =
             channel == Channel::Report && leading_for < report_fencing_window(env.facts.report_interval);
         if !response_suffices || self.machines[name].hosts_service() {
-            self.call_soon(name);
+            self.queue_direct_call(name);
         }
     }
 
     /// Compares the tasks that a worker lists with those placed on its machine.
     fn compare_tasks(&mut self, env: &mut Env, name: &Name, report: &Report) {
         let mut seen: BTreeSet<TaskKey> = BTreeSet::new();
-        let mut unexpected = Vec::new();
+        let mut unexpected_attempts = Vec::new();
         let mut listed: BTreeSet<Attempt> = BTreeSet::new();
         for task in &report.tasks {
             let attempt: Attempt = (task.task.clone(), task.attempt);
@@ -231,20 +236,20 @@
                 seen.insert(key.clone());
                 self.apply_task_report(env, &key, task);
             } else if !self.machines[name].exited.contains_key(&attempt) {
-                unexpected.push((attempt.clone(), task.state == TaskState::Exited));
+                unexpected_attempts.push((attempt.clone(), task.state == TaskState::Exited));
             }
             listed.insert(attempt);
         }
         let machine = self.machines.get_mut(name).expect("reported");
-        let must_stop = unexpected.iter().any(|(_, exited)| !exited);
-        machine.unexpected = unexpected;
+        let must_stop = unexpected_attempts.iter().any(|(_, exited)| !exited);
+        machine.unexpected_attempts = unexpected_attempts;
         machine.orders_due = true;
         machine.exited.retain(|attempt, _| listed.contains(attempt));
         let missing: Vec<TaskKey> = machine.tasks.difference(&seen).cloned().collect();
         let has_stops = self.has_task_to_stop_now(&self.machines[name]);
         self.machines.get_mut(name).expect("reported").has_immediate_stops = has_stops;
         if must_stop {
-            self.call_soon(name);
+            self.queue_direct_call(name);
         }
         self.handle_missing_tasks(env, name, missing);
     }
--- a/crates/core/src/fleet/stop_statistics.rs
+++ b/crates/core/src/fleet/stop_statistics.rs
@@ -36,7 +36,7 @@
 
 /// Stops of tasks of cancelled jobs since the last log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct StopCounts {
+struct StopEventCounts {
     /// Number of jobs with placed tasks that this leader learned were cancelled.
     cancelled_jobs: u32,
     /// Stops sent in direct calls.
@@ -57,7 +57,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StopEvent {
     /// Sent in a direct call.
-    SentByCall,
+    SentInCall,
     /// Sent in a response to a report.
     SentInResponse,
     /// The worker carried out the orders of the direct call.
@@ -72,7 +72,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct StopStatistics {
     /// Counts since the last log line.
-    counts: StopCounts,
+    counts: StopEventCounts,
     /// When the last log line was written.
     logged_at: Option<Instant>,
     /// Cancelled jobs that still have placed tasks, and when this leader learned of each cancellation.
@@ -83,7 +83,7 @@
     /// Counts a message with stops, or its outcome.
     pub fn record(&mut self, event: StopEvent, tasks: u32) {
         let count = match event {
-            StopEvent::SentByCall => &mut self.counts.sent_in_calls,
+            StopEvent::SentInCall => &mut self.counts.sent_in_calls,
             StopEvent::SentInResponse => &mut self.counts.sent_in_responses,
             StopEvent::Done => &mut self.counts.done,
             StopEvent::Refused => &mut self.counts.refused,
@@ -138,22 +138,27 @@
     pub fn pending_stops(&self, now: Instant) -> PendingStops {
         let placed_tasks = |job: &Name| self.jobs.get(job).map_or(0, |job| job.placements.len());
         PendingStops {
-            jobs: self.stops.open_jobs.len(),
-            tasks: self.stops.open_jobs.keys().map(placed_tasks).sum(),
-            oldest: self.stops.open_jobs.values().min().map_or(Duration::ZERO, |since| now.duration_since(*since)),
+            jobs: self.stop_statistics.open_jobs.len(),
+            tasks: self.stop_statistics.open_jobs.keys().map(placed_tasks).sum(),
+            oldest: self
+                .stop_statistics
+                .open_jobs
+                .values()
+                .min()
+                .map_or(Duration::ZERO, |since| now.duration_since(*since)),
         }
     }
 
     /// Writes a log line if any stop was sent or had an outcome since the last line.
     pub(super) fn log_stops(&mut self, env: &Env) {
         let now = env.steady();
-        let logged_recently = self.stops.logged_at.is_some_and(|at| now.duration_since(at) < LOG_INTERVAL);
-        if logged_recently || self.stops.counts == StopCounts::default() {
+        let logged_recently = self.stop_statistics.logged_at.is_some_and(|at| now.duration_since(at) < LOG_INTERVAL);
+        if logged_recently || self.stop_statistics.counts == StopEventCounts::default() {
             return;
         }
-        self.stops.logged_at = Some(now);
-        let StopCounts { cancelled_jobs, sent_in_calls, sent_in_responses, done, refused, lost, ended_tasks } =
-            std::mem::take(&mut self.stops.counts);
+        self.stop_statistics.logged_at = Some(now);
+        let StopEventCounts { cancelled_jobs, sent_in_calls, sent_in_responses, done, refused, lost, ended_tasks } =
+            std::mem::take(&mut self.stop_statistics.counts);
         let pending = self.pending_stops(now);
         tracing::info!(
             token = self.token,
--- a/crates/core/src/fleet/stops.rs
+++ b/crates/core/src/fleet/stops.rs
@@ -62,9 +62,9 @@
         let Some(machine) = self.machines.get(name) else {
             return MachineOrders::default();
         };
-        let unexpected = machine.unexpected.iter().filter(|(_, exited)| !exited);
-        let mut message = MachineOrders::with_stops(unexpected.map(|(attempt, _)| attempt));
-        if machine.fenced.is_some() && machine.orders_due {
+        let unexpected_attempts = machine.unexpected_attempts.iter().filter(|(_, exited)| !exited);
+        let mut message = MachineOrders::with_stops(unexpected_attempts.map(|(attempt, _)| attempt));
+        if machine.fenced_at.is_some() && machine.orders_due {
             for key in &machine.tasks {
                 let place = self.jobs.get_mut(&key.0).and_then(|job| job.placements.get_mut(&key.1)).expect("placed");
                 if place.stop.is_some() {
@@ -91,7 +91,7 @@
             machine.next_call_at = Some(now + STOP_REPEAT_DELAY);
             machine.call_postponed = true;
         } else {
-            self.call_soon(name);
+            self.queue_direct_call(name);
         }
     }
 
@@ -101,7 +101,7 @@
             let place = self.jobs.get(job).and_then(|job| job.placements.get(task));
             place.is_some_and(|place| place.stage.is_reported() && place.stop.is_some_and(|stop| stop.is_immediate()))
         };
-        machine.unexpected.iter().any(|(_, exited)| !exited) || machine.tasks.iter().any(must_end)
+        machine.unexpected_attempts.iter().any(|(_, exited)| !exited) || machine.tasks.iter().any(must_end)
     }
 }
 
--- a/crates/core/src/fleet/survey.rs
+++ b/crates/core/src/fleet/survey.rs
@@ -116,7 +116,7 @@
     /// stopped, the last one did so before its leader key expired.
     pub(super) fn likely_lease_end(&self, env: &Env, machine: &Machine) -> Instant {
         let lease = env.facts.worker_lease;
-        match machine.fenced {
+        match machine.fenced_at {
             Some(_) => machine.last_heard + lease,
             None if self.predecessors_known_inactive => self.started_at + lease.saturating_sub(env.policy.leader_lease),
             None => self.lease_bounds(env).expires_at(machine),
--- a/crates/core/src/fleet/tasks.rs
+++ b/crates/core/src/fleet/tasks.rs
@@ -37,7 +37,7 @@
         if previous_stage != place.stage {
             if place.stop.is_some_and(|stop| stop.last_sent.is_none()) {
                 let machine = place.machine.clone();
-                self.call_soon(&machine);
+                self.queue_direct_call(&machine);
             }
             self.note_progress(&key.0);
             self.note_move_progress(now, key, report.state);
@@ -147,7 +147,7 @@
             job.running_tasks -= 1;
         }
         if job.cancelled {
-            self.stops.task_ended();
+            self.stop_statistics.task_ended();
         }
         job.requeue(key.1, retry_at);
         self.quotas.sub(&job.spec);
@@ -179,7 +179,7 @@
                 machine.orders_due = true;
                 machine.has_immediate_stops |= stop.is_immediate();
             }
-            self.call_soon(&name);
+            self.queue_direct_call(&name);
         }
     }
 
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -339,7 +339,7 @@
         let (now, facts) = (self.env.now.steady, &self.env.facts);
         let may_respond =
             term.cancellations_are_current(now, facts) && self.election.may_respond_to_reports(now, facts);
-        term.note_reporting_right(now, may_respond);
+        term.note_may_respond(now, may_respond);
         if !may_respond {
             // A new leader relies on this node no longer responding, and so does a user whose
             // cancellation this node may not have seen.
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -47,7 +47,7 @@
 /// Whether a job's constraints on spot machines, machine types and zone allow the machine.
 pub(crate) fn meets_constraints(spec: &JobSpec, machine: &Machine) -> bool {
     (!machine.spot || spec.spot)
-        && spec.types.as_ref().is_none_or(|types| types.contains(&machine.kind))
+        && spec.types.as_ref().is_none_or(|types| types.contains(&machine.type_name))
         && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
 }
 
@@ -293,7 +293,7 @@
         if machine.images.contains(&job.spec.image) {
             return 0.0;
         }
-        let rate = env.machine_type(&machine.kind).map_or(1.0, |k| k.fetch_gb_per_s.max(0.01));
+        let rate = env.machine_type(&machine.type_name).map_or(1.0, |k| k.fetch_gb_per_s.max(0.01));
         let alone_s = job.spec.image_gb / rate;
         let mut fetching: BTreeSet<&str> = BTreeSet::new();
         for (name, task) in &machine.tasks {
--- a/crates/core/src/place/pass.rs
+++ b/crates/core/src/place/pass.rs
@@ -105,7 +105,7 @@
     }
     let since = |ms: u64| env.now.wall_ms as f64 / 1000.0 - ms as f64 / 1000.0;
     let end = since(job.eligible_ms) + job.mean_run_s;
-    let targets = env.facts.objectives.iter().filter(|o| o.kind == "finished");
+    let targets = env.facts.objectives.iter().filter(|o| o.measure == "finished");
     let targets = targets.filter(|o| o.class.as_ref() == Some(&job.spec.class)).filter_map(|o| o.time_limit);
     let slack_s = targets.map(|within| within.as_secs_f64() - end);
     let slack_s =
@@ -294,7 +294,7 @@
     /// time, and preemption wastes the work of its victims, so a job preempts only after it has waited for
     /// a configured share of the time that the objectives allow.
     fn is_patience_over(&self, env: &Env, job: &Job) -> bool {
-        let allowed_wait = env.facts.objectives.iter().find(|o| o.kind == "guarantee").and_then(|o| o.time_limit);
+        let allowed_wait = env.facts.objectives.iter().find(|o| o.measure == "guarantee").and_then(|o| o.time_limit);
         let patience = allowed_wait.unwrap_or(DEFAULT_PATIENCE).mul_f64(env.policy.preemption_delay_share);
         u128::from(env.now.wall_ms.saturating_sub(job.eligible_ms)) >= patience.as_millis()
     }
--- a/crates/core/src/records.rs
+++ b/crates/core/src/records.rs
@@ -271,7 +271,7 @@
             {
                 placement.stage = Stage::Ordered;
                 let machine = placement.machine.clone();
-                self.call_soon(&machine);
+                self.queue_direct_call(&machine);
             }
         }
         self.start_durable_moves(env, batch.waiting_moves);
--- a/crates/core/src/recover.rs
+++ b/crates/core/src/recover.rs
@@ -40,7 +40,7 @@
         let tasks: Vec<u32> = job.placements.keys().copied().collect();
         tracing::debug!(job = &**name, tasks = tasks.len(), token = self.token, "cancelled");
         if !tasks.is_empty() {
-            self.stops.job_cancelled(name, env.steady());
+            self.stop_statistics.job_cancelled(name, env.steady());
         }
         self.cancel_moves_of(name);
         for task in tasks {
@@ -56,14 +56,14 @@
         };
         let over = if job.cancelled { job.placements.is_empty() } else { job.is_complete() };
         if over {
-            self.stops.job_ended(name);
+            self.stop_statistics.job_ended(name);
             self.records.queue_close(name);
         }
     }
 
     /// Removes a job whose end is durable.
     pub fn forget_job(&mut self, name: &Name) {
-        self.stops.job_ended(name);
+        self.stop_statistics.job_ended(name);
         if let Some(job) = self.jobs.remove(name) {
             self.unlink_dependencies(&job);
             for page in job.page_versions.keys() {
@@ -124,6 +124,6 @@
             self.place_pass(env);
         }
         self.write_records(env);
-        self.make_calls(env);
+        self.make_direct_calls(env);
     }
 }
--- a/crates/core/src/recover/load.rs
+++ b/crates/core/src/recover/load.rs
@@ -53,17 +53,17 @@
     pub(super) fn watch_jobs(&mut self, env: &mut Env) {
         if !self.watch_pending {
             self.watch_pending = true;
-            let sent = env.steady();
+            let sent_at = env.steady();
             let wait_ms = env.policy.leader_lease.as_millis() as u64 / 3;
             let op = StoreOp::Watch { prefix: LIVE_PREFIX.into(), after: self.watch_revision, wait_ms };
-            env.call_store(Purpose::Load(LoadCall::Watch { sent }), Urgency::Leadership, op);
+            env.call_store(Purpose::Load(LoadCall::Watch { sent_at }), Urgency::Leadership, op);
         }
     }
 
     /// Handles the outcome of a read of records or of the watch.
     pub fn load_outcome(&mut self, env: &mut Env, call: LoadCall, outcome: Outcome<StoreResponse>) {
         match (call, outcome) {
-            (LoadCall::Watch { sent }, outcome) => self.watch_outcome(env, sent, outcome),
+            (LoadCall::Watch { sent_at }, outcome) => self.watch_outcome(env, sent_at, outcome),
             (LoadCall::Dependency(job), outcome) => self.dependency_read_outcome(env, job, outcome),
             (LoadCall::Failover, Outcome::Responded(StoreResponse::Item(item))) => {
                 self.load_request_pending = false;
@@ -164,11 +164,11 @@
     }
 
     /// Handles the outcome of the watch on unfinished jobs.
-    fn watch_outcome(&mut self, env: &mut Env, sent: Instant, outcome: Outcome<StoreResponse>) {
+    fn watch_outcome(&mut self, env: &mut Env, sent_at: Instant, outcome: Outcome<StoreResponse>) {
         self.watch_pending = false;
         match outcome {
             Outcome::Responded(StoreResponse::Changes(changes)) => {
-                self.note_cancellations_known(sent);
+                self.note_cancellations_known(sent_at);
                 self.watch_revision = changes.revision;
                 for event in changes.events {
                     if let Event::Put { key, value, version } = event {
@@ -242,7 +242,7 @@
         tracing::info!(jobs = self.jobs.len(), places, machines = self.machines.len(), "records read");
         // Machines that run services are fenced at once.
         let hosts: Vec<Name> = self.machines.values().filter(|m| m.hosts_service()).map(|m| m.name.clone()).collect();
-        hosts.iter().for_each(|name| self.call_soon(name));
+        hosts.iter().for_each(|name| self.queue_direct_call(name));
         self.scheduling_due = true;
         self.watch_jobs(env);
     }
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -54,14 +54,14 @@
             return false;
         }
         let digest = digest(&tasks);
-        self.relaying.pending.push_back(PendingReport { request_id, report, tasks, digest, full: false });
+        self.relaying.pending.push_back(PendingReport { request_id, report, tasks, digest, tasks_requested: false });
         true
     }
 
     /// Sends the next batch of reports if it is due and no batch is in flight.
     pub(crate) fn relay_tick(&mut self) {
         let now = self.env.steady();
-        self.relaying.redirects_left = 1;
+        self.relaying.redirect_budget = 1;
         if self.relaying.last_sweep_at.is_none_or(|swept_at| now.duration_since(swept_at) >= FORWARDED_TTL) {
             self.relaying.last_sweep_at = Some(now);
             self.relaying.forwarded.retain(|_, forwarded| now.duration_since(forwarded.at) < FORWARDED_TTL);
@@ -92,7 +92,7 @@
             let unchanged = forwarded.is_some_and(|forwarded| {
                 (forwarded.token, forwarded.digest) == (token, pending.digest) && forwarded.addr == report.addr
             });
-            let full = if unchanged && !pending.full {
+            let full = if unchanged && !pending.tasks_requested {
                 None
             } else {
                 match parse_tasks(&pending.tasks) {
@@ -177,8 +177,8 @@
                     }
                     self.env.respond(pending.request_id, HttpResponse { status, body, retry_after_s });
                 }
-                (Some(None), Some(_)) if !pending.full => {
-                    self.relaying.pending.push_front(PendingReport { full: true, ..pending });
+                (Some(None), Some(_)) if !pending.tasks_requested => {
+                    self.relaying.pending.push_front(PendingReport { tasks_requested: true, ..pending });
                 }
                 _ => {
                     // The leader may have processed the report, so it can't be relayed again.
@@ -191,11 +191,11 @@
     /// Returns a redirect to a less busy node if this leader is busy. Workers are redirected a few at a
     /// time, because a new connection costs as much as several reports.
     pub(crate) fn redirect_worker(&mut self) -> Option<HttpResponse> {
-        if self.relaying.redirects_left == 0 || !self.term.as_ref().is_some_and(|term| term.ready()) {
+        if self.relaying.redirect_budget == 0 || !self.term.as_ref().is_some_and(|term| term.ready()) {
             return None;
         }
         let label = self.least_busy_follower()?;
-        self.relaying.redirects_left -= 1;
+        self.relaying.redirect_budget -= 1;
         Some(HttpResponse::json(421, &ReportRedirect { report_to: Some(label) }))
     }
 }
--- a/crates/core/src/relay/state.rs
+++ b/crates/core/src/relay/state.rs
@@ -30,7 +30,7 @@
     pub(super) tasks: Box<RawValue>,
     pub(super) digest: u64,
     /// The leader asked for the list of tasks.
-    pub(super) full: bool,
+    pub(super) tasks_requested: bool,
 }
 
 /// The tasks of a worker that the leader last received from this node.
@@ -52,5 +52,5 @@
     pub(super) last_sent_at: Option<Instant>,
     pub(super) last_sweep_at: Option<Instant>,
     /// Number of workers that may be redirected before the next tick.
-    pub(super) redirects_left: u32,
+    pub(super) redirect_budget: u32,
 }
--- a/crates/core/src/rent/demand.rs
+++ b/crates/core/src/rent/demand.rs
@@ -187,11 +187,11 @@
         let now = env.steady();
         let mut supply = Supply::default();
         for machine in self.machines.values().filter(|m| m.counts_as_capacity()) {
-            let boot = env.machine_type(&machine.kind).map_or(DEFAULT_BOOT_S, |k| k.boot_s);
+            let boot = env.machine_type(&machine.type_name).map_or(DEFAULT_BOOT_S, |k| k.boot_s);
             let late =
                 !machine.up && now.duration_since(machine.known_since).as_secs_f64() > boot * LATE_AFTER_BOOT_TIMES;
             // The size of a machine known only from a record is unknown.
-            if late || machine.kind.is_empty() {
+            if late || machine.type_name.is_empty() {
                 continue;
             }
             supply.in_use += machine.used.cpus;
--- a/crates/core/src/rent/releases.rs
+++ b/crates/core/src/rent/releases.rs
@@ -179,13 +179,13 @@
     pub(super) fn release_idle(&mut self, env: &mut Env, now: Instant) {
         let mut to_release = Vec::new();
         for machine in self.machines.values() {
-            let boot_s = env.machine_type(&machine.kind).map_or(60.0, |k| k.boot_s.max(1.0));
+            let boot_s = env.machine_type(&machine.type_name).map_or(60.0, |k| k.boot_s.max(1.0));
             let age_s = now.duration_since(machine.known_since).as_secs_f64();
             if machine.releasing {
                 if machine.release_sent.is_none() {
                     to_release.push(machine.name.clone());
                 }
-            } else if !machine.up && !machine.kind.is_empty() && age_s > boot_s * LOST_AFTER_BOOT_TIMES {
+            } else if !machine.up && !machine.type_name.is_empty() && age_s > boot_s * LOST_AFTER_BOOT_TIMES {
                 tracing::info!(machine = &*machine.name, age_s, "the machine never came up; releasing it");
                 to_release.push(machine.name.clone());
             } else if machine.quarantined && machine.tasks.is_empty() {
--- a/crates/core/src/speculate.rs
+++ b/crates/core/src/speculate.rs
@@ -109,11 +109,11 @@
             let value = straggler_value(&elapsed_with_cell);
             let straggler = running > 0 && value > threshold * f64::from(running);
             if straggler {
-                machine.last_straggling = Some(now);
+                machine.last_straggling_at = Some(now);
             }
             // The mark is kept for a while: slow runs lower the machine's level, at which it would soon be
             // considered normal.
-            let straggler = machine.last_straggling.is_some_and(|t| now.duration_since(t) < STRAGGLER_MARK_DURATION);
+            let straggler = machine.last_straggling_at.is_some_and(|t| now.duration_since(t) < STRAGGLER_MARK_DURATION);
             if straggler != machine.straggler {
                 tracing::info!(
                     machine = &*machine.name,
--- a/crates/core/src/term.rs
+++ b/crates/core/src/term.rs
@@ -136,7 +136,7 @@
     pub partitioned: bool,
     pub survey: Survey,
     /// Statistics of the stops of cancelled tasks, for the log.
-    pub stops: StopStatistics,
+    pub stop_statistics: StopStatistics,
     /// The last report was rejected because this leader may no longer respond.
     pub refusing_reports: bool,
     /// Dependencies of the unfinished jobs.
@@ -200,7 +200,7 @@
             jobs_with_progress: BTreeSet::new(),
             partitioned: false,
             survey: Survey::default(),
-            stops: StopStatistics::default(),
+            stop_statistics: StopStatistics::default(),
             refusing_reports: false,
             dependencies: DependencyState::default(),
             balancer: balancer(facts, policy),
@@ -259,7 +259,7 @@
     }
 
     /// Logs when this leader stops responding to reports, and when it resumes.
-    pub fn note_reporting_right(&mut self, now: Instant, may_respond: bool) {
+    pub fn note_may_respond(&mut self, now: Instant, may_respond: bool) {
         if self.refusing_reports != may_respond {
             return;
         }
--- a/crates/core/src/users.rs
+++ b/crates/core/src/users.rs
@@ -96,7 +96,7 @@
                 self.dependencies_outcome(admission, asked, outcome)
             }
             UserCall::Create(creation) => self.create_outcome(creation, outcome),
-            UserCall::Refuse { request, job, answer } => self.refuse_outcome(request, job, answer, outcome),
+            UserCall::Refuse { request, job, response } => self.refuse_outcome(request, job, response, outcome),
             UserCall::CancelRead { request, job } => self.cancel_read_outcome(request, job, outcome),
             UserCall::CancelWrite { request, job, tasks } => self.cancel_write_outcome(request, job, tasks, outcome),
         }
--- a/crates/core/src/users/submit.rs
+++ b/crates/core/src/users/submit.rs
@@ -133,9 +133,9 @@
     }
 
     /// Rejects a submission unless the state service has the job.
-    fn refuse(&mut self, request: RequestId, job: String, answer: HttpResponse) {
+    fn refuse(&mut self, request: RequestId, job: String, response: HttpResponse) {
         let op = StoreOp::Get(job_key(&job));
-        self.env.call_store(Purpose::User(UserCall::Refuse { request, job, answer }), Urgency::High, op);
+        self.env.call_store(Purpose::User(UserCall::Refuse { request, job, response }), Urgency::High, op);
     }
 
     /// Handles the outcome of the read before a rejection.
@@ -143,7 +143,7 @@
         &mut self,
         request: RequestId,
         job: String,
-        answer: HttpResponse,
+        response: HttpResponse,
         outcome: Outcome<StoreResponse>,
     ) {
         let Outcome::Responded(StoreResponse::Item(item)) = outcome else {
@@ -151,7 +151,7 @@
             return;
         };
         match item.map(|item| self.cache_record(&job, item)) {
-            None => self.respond(request, answer),
+            None => self.respond(request, response),
             Some(Some(cached)) => self.record_read(job, cached, vec![request]),
             // The record exists, so the job was accepted, but it cannot be decoded.
             Some(None) => self.respond(request, store_unresponsive()),
--- a/crates/rushyoke/src/settings.rs
+++ b/crates/rushyoke/src/settings.rs
@@ -301,7 +301,7 @@
         }
     }
     let objectives = facts.objectives.iter().map(|entry| Objective {
-        kind: entry.kind.clone(),
+        measure: entry.kind.clone(),
         class: entry.class.clone(),
         time_limit: entry.within_s.filter(|s| *s >= 0.0 && s.is_finite()).map(|s| Duration::from_secs_f64(s.min(1e9))),
     });
--- a/crates/testkit/examples/profile.rs
+++ b/crates/testkit/examples/profile.rs
@@ -25,7 +25,7 @@
     Facts {
         teams: (0..10).map(|n| (format!("team-{n}"), team.clone())).collect::<BTreeMap<_, _>>(),
         objectives: vec![Objective {
-            kind: "guarantee".into(),
+            measure: "guarantee".into(),
             class: None,
             time_limit: Some(Duration::from_secs(10)),
         }],
