--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -1,4 +1,4 @@
-//! The purposes of calls to other systems. The purpose of a call is kept until its outcome arrives, and determines how
+//! Purposes of the calls to other systems. The purpose of a call is kept until its outcome arrives, and determines how
 //! the outcome is handled.
 
 use std::collections::BTreeSet;
@@ -94,9 +94,9 @@
     pub new_placements: bool,
     /// Pages of tasks, by job and page number.
     pub pages: Vec<(Name, u32)>,
-    /// Numbers of the values of the record of open moves.
+    /// Numbers of the parts of the record of open moves that are written.
     pub moves: Vec<usize>,
-    /// Tasks and attempts of the moves that wait for those values to be durable.
+    /// Tasks and attempts of the moves that wait for those parts to be durable.
     pub waiting_moves: Vec<(TaskKey, u64)>,
     /// Whether the record of zones is written.
     pub failover: bool,
--- a/crates/core/src/election.rs
+++ b/crates/core/src/election.rs
@@ -132,8 +132,8 @@
             }
             (ElectionCall::RenewLease { sent_at }, outcome) => self.renewal_outcome(sent_at, outcome),
             (ElectionCall::EndLease, _) => {}
-            // A claim without a response may have been executed, or may still be. Once the key is
-            // read with this node's label, it is deleted like that of an earlier incarnation.
+            // A claim without a response may have been executed, or may still be. Once a read shows the
+            // key with this node's label, it is deleted like that of an earlier incarnation.
             (
                 ElectionCall::Read
                 | ElectionCall::DeleteOwnKey
@@ -201,8 +201,10 @@
                     if matches!(self.election.phase, Some(Phase::Following | Phase::ReadDue { .. })) {
                         // Workers that can't reach their leader try the other nodes. A node without
                         // recent reports may be partitioned from them too, so others go first.
-                        let recent_report =
-                            self.election.last_worker_report.is_some_and(|t| now.duration_since(t) < RECENT_REPORT_AGE);
+                        let recent_report = self
+                            .election
+                            .last_worker_report
+                            .is_some_and(|at| now.duration_since(at) < RECENT_REPORT_AGE);
                         if recent_report { self.campaign() } else { self.election.schedule_read(now + CANDIDACY_DELAY) }
                     }
                 }
@@ -211,7 +213,7 @@
         }
     }
 
-    /// Handles the current state of the leader key: follows, campaigns or deletes an own earlier key.
+    /// Handles the current state of the leader key: follows, campaigns, or deletes this node's earlier key.
     fn leader_key_read(&mut self, item: Option<Item>) {
         let leader = item
             .and_then(|item| Some(Leader { record: serde_json::from_value(item.value).ok()?, version: item.version }));
--- a/crates/core/src/env.rs
+++ b/crates/core/src/env.rs
@@ -12,7 +12,7 @@
 use crate::io::*;
 use crate::jobs::Name;
 
-/// The caller's clocks.
+/// Current times of the caller's clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
     /// Time of the steady (monotonic) clock.
--- a/crates/core/src/facts.rs
+++ b/crates/core/src/facts.rs
@@ -95,16 +95,15 @@
     pub headroom_share: f64,
     /// Minimum free capacity kept ready, in machines of the largest type.
     pub headroom_machines: f64,
-    /// CPUs kept free for services on machines that aren't spot machines, in services of average size.
+    /// CPUs kept free for services on on-demand machines, as a number of services of average size.
     pub service_reserve: f64,
-    /// Share of the objective for work within a guarantee that passes before other work is preempted for
-    /// it.
+    /// Work within a guarantee may preempt other work once it has waited for this share of its objective.
     pub preemption_delay_share: f64,
     /// How long a job may wait without any task being placed before it is scheduled out of turn.
     pub starvation_timeout: Duration,
     /// How long a machine is idle before it is released.
     pub idle_timeout: Duration,
-    /// Number of report intervals without contact after which an unresponsive machine is declared dead.
+    /// Number of report intervals without contact after which an unresponsive machine is released.
     pub missed_report_limit: f64,
     /// Maximum number of unfinished jobs; further submissions are rejected.
     pub max_jobs: usize,
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -31,7 +31,7 @@
 use crate::term::Term;
 pub(crate) use machine::{Machine, Reservation};
 
-/// Longest time between two reports as a multiple of the report interval, which varies by up to a quarter.
+/// Longest time between two reports, as a multiple of the report interval. Workers vary the interval by up to a quarter.
 const LATEST_REPORT_FACTOR: f64 = 1.25;
 /// Allowance for transmission and processing, on top of the longest time between two reports.
 const REPORT_DELAY_ALLOWANCE: Duration = Duration::from_secs(1);
@@ -58,11 +58,11 @@
     Digest(u64),
 }
 
-/// Time after a takeover in which workers are fenced by their reports. Most workers find the new
-/// leader themselves and see its token in the response to their first report. Only machines with
-/// services are shown it by direct calls before this time has passed.
-fn report_fencing_window(report: Duration) -> Duration {
-    report.mul_f64(LATEST_REPORT_FACTOR) + REPORT_DELAY_ALLOWANCE
+/// Returns the time after a takeover in which reports suffice to fence most workers: they find the
+/// new leader themselves and see its token in the response to their first report. Within this time
+/// only machines with services are shown the token by direct calls.
+fn report_fencing_window(report_interval: Duration) -> Duration {
+    report_interval.mul_f64(LATEST_REPORT_FACTOR) + REPORT_DELAY_ALLOWANCE
 }
 
 /// Returns a digest by which lists of tasks are compared.
@@ -85,8 +85,8 @@
     /// Applies changed machine types to all machines.
     pub fn update_machine_types(&mut self, env: &Env) {
         for machine in self.machines.values_mut() {
-            let kind = env.machine_type(&machine.type_name);
-            machine.apply_type(kind);
+            let machine_type = env.machine_type(&machine.type_name);
+            machine.apply_type(machine_type);
         }
     }
 
@@ -126,8 +126,8 @@
         }
         let machine = self.machines.entry(name.clone()).or_insert_with(|| {
             let age = Duration::from_secs_f64(listed.age_s.clamp(0.0, 1e6));
-            let known = now.checked_sub(age).unwrap_or(now);
-            Machine { known_since: known, ..Machine::new(name.clone(), now) }
+            let rented_at = now.checked_sub(age).unwrap_or(now);
+            Machine { known_since: rented_at, ..Machine::new(name.clone(), now) }
         });
         if machine.type_name.is_empty() {
             machine.type_name = listed.kind.clone();
@@ -140,7 +140,7 @@
             machine.addr = listed.addr.clone();
         }
         if listed.phase == CloudPhase::Running && !machine.up && !machine.addr.is_empty() {
-            // Its worker may still report to another node: call it to show it the token.
+            // Its worker may still report to another node: a direct call shows it this leader's token.
             machine.up = true;
             machine.last_heard = now;
             machine.last_reported = now;
--- a/crates/core/src/fleet/direct_calls.rs
+++ b/crates/core/src/fleet/direct_calls.rs
@@ -48,10 +48,10 @@
     }
 
     /// Notes a direct call without a response, and delays the next one in proportion to the number of failures.
-    pub(super) fn note_failed_call(&mut self, now: Instant, retry: Duration, max_backoff: u32) {
+    pub(super) fn note_failed_call(&mut self, now: Instant, retry_delay: Duration, max_backoff_multiplier: u32) {
         self.failed_probes += 1;
         self.failed_calls += 1;
-        self.next_call_at = Some(now + retry * self.failed_calls.min(max_backoff));
+        self.next_call_at = Some(now + retry_delay * self.failed_calls.min(max_backoff_multiplier));
     }
 
     /// Whether the direct call in flight starts this attempt.
--- a/crates/core/src/fleet/images.rs
+++ b/crates/core/src/fleet/images.rs
@@ -9,7 +9,7 @@
     size_gb: f64,
 }
 
-/// Images assumed to be cached, the most recently used last. A machine evicts the least recently used.
+/// Images assumed to be cached, the most recently used last. A machine evicts the least recently used one.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ImageCache {
     images: VecDeque<Image>,
@@ -18,8 +18,8 @@
 
 impl ImageCache {
     /// Sets the cache size of the machine's type.
-    pub fn resize(&mut self, room_gb: f64) {
-        self.capacity_gb = room_gb;
+    pub fn resize(&mut self, capacity_gb: f64) {
+        self.capacity_gb = capacity_gb;
     }
 
     /// Whether the image is assumed to be cached.
--- a/crates/core/src/fleet/lease.rs
+++ b/crates/core/src/fleet/lease.rs
@@ -1,4 +1,4 @@
-//! When a worker's lease is certain to have expired.
+//! Determines when a worker's lease is certain to have expired.
 
 use std::time::{Duration, Instant};
 
@@ -27,9 +27,9 @@
     pub(super) fn expires_at(&self, machine: &Machine) -> Instant {
         let last_renewal = match (machine.fenced_at, machine.last_response) {
             // A fenced worker ignores responses of earlier leaders.
-            (Some(fenced_at), renewed) => renewed.map_or(fenced_at, |at| at.max(fenced_at)),
-            (None, renewed) => {
-                renewed.map_or(self.predecessors_inactive_at, |at| at.max(self.predecessors_inactive_at))
+            (Some(fenced_at), last_response) => last_response.map_or(fenced_at, |at| at.max(fenced_at)),
+            (None, last_response) => {
+                last_response.map_or(self.predecessors_inactive_at, |at| at.max(self.predecessors_inactive_at))
             }
         };
         self.last_response_before_load.map_or(last_renewal, |at| last_renewal.max(at))
--- a/crates/core/src/fleet/liveness.rs
+++ b/crates/core/src/fleet/liveness.rs
@@ -33,11 +33,11 @@
     up: usize,
     /// Number of those whose report is overdue.
     overdue: usize,
-    /// Number of those whose report has been overdue for longer than a direct call takes.
-    unheard: usize,
-    /// Number of those that have not shown this leader's token and had failed probes.
+    /// Number of those whose report is overdue by more than the timeout of a probe.
+    long_overdue: usize,
+    /// Number of those that have not shown this leader's token and did not respond to a direct call.
     never_reached: usize,
-    /// Number of those that had failed probes and are not being released.
+    /// Number of those that did not respond to a direct call and are not being released.
     failing_calls: usize,
     /// Whether any machine, not being released, does not respond to direct calls, whatever it reports.
     any_call_failed: bool,
@@ -59,7 +59,7 @@
 
 impl Findings {
     /// Whether this number is at least four fifths of the machines that are up.
-    fn is_most(&self, count: usize) -> bool {
+    fn is_large_majority(&self, count: usize) -> bool {
         self.up >= 3 && count * 5 >= self.up * 4
     }
 }
@@ -95,7 +95,7 @@
         self.log_stops(env);
     }
 
-    /// Checks all machines, marks those with overdue reports as suspect, and ends outdated reservations.
+    /// Checks all machines, marks those with overdue reports as suspect, and removes expired reservations.
     fn collect_findings(&mut self, env: &Env) -> Findings {
         let now = env.steady();
         let overdue_after = overdue_threshold(env);
@@ -106,20 +106,20 @@
         let zone_failover = self.failover.is_some();
         let max_discovery_time = NODE_DISCOVERY_TIME * env.facts.peers.len() as u32;
         let mut findings = Findings::default();
-        for machine in self.machines.values_mut().filter(|m| m.up) {
+        for machine in self.machines.values_mut().filter(|machine| machine.up) {
             findings.up += 1;
             findings.total.add_machine(machine.spot);
             if machine.reservation.as_ref().is_some_and(|reservation| reservation.until <= now) {
                 machine.reservation = None;
             }
-            let unheard_for = now.duration_since(machine.last_heard);
+            let since_last_heard = now.duration_since(machine.last_heard);
             let never_reached = machine.fenced_at.is_none() && machine.failed_probes > 0;
-            findings.overdue += usize::from(unheard_for > overdue_after);
-            findings.unheard += usize::from(unheard_for > overdue_after + PROBE_TIMEOUT);
+            findings.overdue += usize::from(since_last_heard > overdue_after);
+            findings.long_overdue += usize::from(since_last_heard > overdue_after + PROBE_TIMEOUT);
             findings.never_reached += usize::from(never_reached);
             findings.failing_calls += usize::from(machine.failed_probes > 0 && !machine.releasing);
             findings.any_call_failed |= machine.failed_calls > 0 && !machine.releasing;
-            if unheard_for > overdue_after || never_reached {
+            if since_last_heard > overdue_after || never_reached {
                 findings.overdue_or_unreached.add_machine(machine.spot);
             }
             // A worker that never reported here may still be looking for this node.
@@ -133,16 +133,19 @@
                     findings.calls_due.push(machine.name.clone());
                 }
             }
-            if unheard_for > overdue_after && !machine.suspect {
+            if since_last_heard > overdue_after && !machine.suspect {
                 machine.suspect = true;
                 machine.failed_probes = 0;
                 machine.next_call_at = None;
                 tracing::debug!(machine = &*machine.name, "its report is overdue");
             }
-            if now > leases.expires_at(machine) && unheard_for > env.facts.worker_lease && !machine.tasks.is_empty() {
+            if now > leases.expires_at(machine)
+                && since_last_heard > env.facts.worker_lease
+                && !machine.tasks.is_empty()
+            {
                 findings.leases_expired.push(machine.name.clone());
             }
-            if is_unresponsive(machine, unheard_for, overdue_after, release_after) {
+            if is_unresponsive(machine, since_last_heard, overdue_after, release_after) {
                 findings.unresponsive.push(machine.name.clone());
             }
             if zone_failover && machine.release_sent.is_none() {
@@ -150,7 +153,7 @@
                 observe_machine(
                     findings.zones.entry(machine.zone.clone()).or_default(),
                     machine,
-                    unheard_for > overdue_after,
+                    since_last_heard > overdue_after,
                     in_time,
                 );
             }
@@ -163,16 +166,17 @@
     /// they can reach, before their leases expire. After a takeover they need a while to find it.
     fn assess_own_reachability(&mut self, env: &Env, findings: &mut Findings, no_direct_reports: bool) {
         let leading_for = env.steady().duration_since(self.started_at);
-        let settled = leading_for > NODE_DISCOVERY_TIME * env.facts.peers.len() as u32 + overdue_threshold(env);
+        let discovery_over = leading_for > NODE_DISCOVERY_TIME * env.facts.peers.len() as u32 + overdue_threshold(env);
         let not_reporting = std::mem::take(&mut findings.reports_missing);
         // Reports relayed by other nodes still arrive, but none of this leader's direct calls succeeds.
-        let calls_lost = no_direct_reports && self.survey.most_unreachable && !findings.is_most(findings.unheard);
-        let most_not_reporting = findings.is_most(not_reporting.len());
-        self.partitioned = findings.is_most(findings.never_reached)
+        let calls_lost =
+            no_direct_reports && self.survey.most_unreachable && !findings.is_large_majority(findings.long_overdue);
+        let most_not_reporting = findings.is_large_majority(not_reporting.len());
+        self.partitioned = findings.is_large_majority(findings.never_reached)
             || calls_lost
-            || most_not_reporting && (findings.is_most(findings.unheard) || settled);
+            || most_not_reporting && (findings.is_large_majority(findings.long_overdue) || discovery_over);
         // Just after a takeover, or if the reports of most machines are missing, workers are looking for this node.
-        if !settled || most_not_reporting {
+        if !discovery_over || most_not_reporting {
             return;
         }
         let mut newly_missing = Vec::new();
@@ -205,14 +209,14 @@
             return;
         }
         let machine = self.machines.get_mut(name).expect("listed");
-        let (tasks, unheard_for) = (machine.tasks.len(), now.duration_since(machine.last_heard));
+        let (tasks, since_last_heard) = (machine.tasks.len(), now.duration_since(machine.last_heard));
         let (spot, failed_probes) = (machine.spot, machine.failed_probes);
         tracing::info!(
             machine = &**name,
             tasks,
             spot,
             failed = failed_probes,
-            quiet_s = unheard_for.as_secs(),
+            quiet_s = since_last_heard.as_secs(),
             "unresponsive; releasing it"
         );
         machine.releasing = true;
@@ -224,9 +228,10 @@
         let suspects = self
             .machines
             .values()
-            .filter(|m| m.suspect && m.direct_call.is_none() && !m.addr.is_empty())
-            .filter(|m| m.next_call_at.is_none_or(|at| at <= now));
-        let mut probes: Vec<(CallReason, &Name)> = suspects.map(|m| (m.call_reason(), &m.name)).collect();
+            .filter(|machine| machine.suspect && machine.direct_call.is_none() && !machine.addr.is_empty())
+            .filter(|machine| machine.next_call_at.is_none_or(|at| at <= now));
+        let mut probes: Vec<(CallReason, &Name)> =
+            suspects.map(|machine| (machine.call_reason(), &machine.name)).collect();
         probes.sort_unstable();
         probes.truncate(self.available_direct_calls(env));
         let probes: Vec<Name> = probes.into_iter().map(|(_, name)| name.clone()).collect();
@@ -256,7 +261,7 @@
         }
     }
 
-    /// Returns the present bounds on the leases of all workers.
+    /// Returns the current bounds on the leases of all workers.
     pub(super) fn lease_bounds(&self, env: &Env) -> LeaseBounds {
         LeaseBounds {
             predecessors_inactive_at: self.predecessors_inactive_at,
@@ -266,19 +271,27 @@
     }
 }
 
-/// Time after the last report from which the next one is overdue.
+/// Returns the time after the last report from which the next one is overdue.
 fn overdue_threshold(env: &Env) -> Duration {
     env.facts.report_interval.mul_f64(LATEST_REPORT_FACTOR) + OVERDUE_MARGIN
 }
 
-/// Whether a machine has been unheard for so long, with failed direct calls, that it may be released.
-fn is_unresponsive(machine: &Machine, unheard_for: Duration, overdue_after: Duration, release_after: Duration) -> bool {
+/// Whether a machine may be released: nothing was heard from it for too long, and direct calls to it fail or are
+/// impossible.
+fn is_unresponsive(
+    machine: &Machine,
+    since_last_heard: Duration,
+    overdue_after: Duration,
+    release_after: Duration,
+) -> bool {
     // A machine that a new leader never reached has no report that could be overdue.
-    let min_silence = if machine.fenced_at.is_some() { overdue_after + PROBE_TIMEOUT } else { PROBE_TIMEOUT * 2 };
-    let probes_exhausted = machine.failed_probes >= FAILED_PROBES_BEFORE_RELEASE && unheard_for > min_silence;
+    let min_since_last_heard =
+        if machine.fenced_at.is_some() { overdue_after + PROBE_TIMEOUT } else { PROBE_TIMEOUT * 2 };
+    let probes_exhausted =
+        machine.failed_probes >= FAILED_PROBES_BEFORE_RELEASE && since_last_heard > min_since_last_heard;
     // Direct calls are limited, so a machine that has not been called yet may be alive.
     let called = machine.failed_probes > 0 || machine.addr.is_empty();
-    (probes_exhausted || called && unheard_for > release_after) && !machine.releasing
+    (probes_exhausted || called && since_last_heard > release_after) && !machine.releasing
 }
 
 /// Returns the first few names, separated by commas, for a log line.
--- a/crates/core/src/fleet/machine.rs
+++ b/crates/core/src/fleet/machine.rs
@@ -95,7 +95,7 @@
     pub(super) unresolved_starts: BTreeSet<Attempt>,
     /// Exited tasks that the worker still lists.
     pub(super) exited: BTreeMap<Attempt, TaskKey>,
-    /// Attempts that the worker lists but that are not placed on it, and whether each has exited.
+    /// Attempts that its worker lists but that are not placed on the machine, and whether each has exited.
     pub(super) unexpected_attempts: Vec<(Attempt, bool)>,
     /// Images assumed to be cached on it.
     pub images: ImageCache,
@@ -105,7 +105,7 @@
     pub release_sent: Option<Instant>,
     /// Its report is overdue.
     pub suspect: bool,
-    /// Number of direct calls that failed since its report was overdue.
+    /// Number of direct calls that have failed since its report became overdue.
     pub(super) failed_probes: u32,
     /// Number of consecutive direct calls that failed, whatever it reported meanwhile: its messages
     /// may arrive while none reaches it. It gets no work until it responds to one.
@@ -127,15 +127,15 @@
     pub reservation: Option<Reservation>,
     /// Its tasks run slower than elsewhere.
     pub straggler: bool,
-    /// When its straggler value was last too high.
+    /// When its straggler score was last above the threshold.
     pub last_straggling_at: Option<Instant>,
     /// Its eSplash level.
     pub level: usize,
     /// Whether its zone takes new work.
     pub zone_access: Access,
-    /// Its zone is not healthy, so the drain reasons recorded when that was detected still apply.
+    /// Its zone is unhealthy: `drain_reasons` still applies as recorded when that was detected.
     pub zone_unhealthy: bool,
-    /// Reasons for which it was being drained at that time.
+    /// Reasons for which it was being drained when its zone became unhealthy.
     pub drain_reasons: DrainReasons,
 }
 
@@ -252,15 +252,15 @@
         }
     }
 
-    /// Whether its worker has shown this leader's token, and so which tasks it runs.
+    /// Whether its worker has shown this leader's token, and with it which tasks it runs.
     pub fn is_fenced(&self) -> bool {
         self.fenced_at.is_some()
     }
 
     /// Whether a recent report of its worker got a response, which renews its lease.
-    pub fn lease_recently_renewed(&self, now: Instant, report: Duration) -> bool {
-        let longest = report.mul_f64(LATEST_REPORT_FACTOR) + REPORT_DELAY_ALLOWANCE;
-        self.last_response.is_some_and(|at| now.duration_since(at) <= longest)
+    pub fn lease_recently_renewed(&self, now: Instant, report_interval: Duration) -> bool {
+        let longest_gap = report_interval.mul_f64(LATEST_REPORT_FACTOR) + REPORT_DELAY_ALLOWANCE;
+        self.last_response.is_some_and(|at| now.duration_since(at) <= longest_gap)
     }
 
     /// Whether tasks may be placed here.
@@ -287,7 +287,7 @@
         !self.releasing && takes_tasks && self.reclaimed_at.is_none() && !self.unverified
     }
 
-    /// Whether it was being drained for this reason when its zone became suspect.
+    /// Whether it was being drained for this reason when its zone became unhealthy.
     pub fn was_drained_for(&self, reason: fn(DrainReasons) -> bool) -> bool {
         self.zone_unhealthy && reason(self.drain_reasons)
     }
@@ -322,9 +322,9 @@
     /// whose reports were overdue, since the response may not reach it. A further report in time
     /// does, because it shows that the response to the first one arrived; so does the response to
     /// a direct call.
-    pub(super) fn note_alive(&mut self, now: Instant, channel: Channel, report: Duration) {
-        let prompt =
-            now.duration_since(self.last_reported) <= report.mul_f64(LATEST_REPORT_FACTOR) + REPORT_DELAY_ALLOWANCE;
+    pub(super) fn note_alive(&mut self, now: Instant, channel: Channel, report_interval: Duration) {
+        let prompt = now.duration_since(self.last_reported)
+            <= report_interval.mul_f64(LATEST_REPORT_FACTOR) + REPORT_DELAY_ALLOWANCE;
         self.last_heard = now;
         self.reports_missing &= channel == Channel::Direct;
         if channel == Channel::Direct {
--- a/crates/core/src/fleet/orders.rs
+++ b/crates/core/src/fleet/orders.rs
@@ -94,14 +94,17 @@
         }
         let mut orders_remain = !machine.unexpected_attempts.is_empty() || !machine.exited.is_empty();
         for key in &machine.tasks {
-            let place = self.jobs.get_mut(&key.0).and_then(|job| job.placements.get_mut(&key.1)).expect("placed");
-            orders_remain |= !place.stage.is_reported() || place.stop.is_some();
-            if place.stop.is_some() || place.stage.is_reported() || message.orders.len() >= MAX_ORDERS_PER_MESSAGE {
+            let placement = self.jobs.get_mut(&key.0).and_then(|job| job.placements.get_mut(&key.1)).expect("placed");
+            orders_remain |= !placement.stage.is_reported() || placement.stop.is_some();
+            if placement.stop.is_some()
+                || placement.stage.is_reported()
+                || message.orders.len() >= MAX_ORDERS_PER_MESSAGE
+            {
                 continue;
             }
             let task = format!("{}/{}", key.0, key.1);
-            let in_flight = machine.start_in_flight(&(task.clone(), place.attempt));
-            message.orders.extend(start_order(channel, task, place, in_flight));
+            let in_flight = machine.start_in_flight(&(task.clone(), placement.attempt));
+            message.orders.extend(start_order(channel, task, placement, in_flight));
         }
         machine.orders_due = orders_remain;
         self.forget_exited(name, channel, &mut message.orders);
@@ -181,13 +184,13 @@
 }
 
 /// Returns the start order of a task that its machine has not reported yet, if it is to be sent now.
-fn start_order(channel: Channel, task: String, place: &mut Placement, in_flight: bool) -> Option<Order> {
-    if matches!(place.stage, Stage::Planned | Stage::Inherited) {
+fn start_order(channel: Channel, task: String, placement: &mut Placement, in_flight: bool) -> Option<Order> {
+    if matches!(placement.stage, Stage::Planned | Stage::Inherited) {
         return None;
     }
-    let due = !place.start_sent || (channel == Channel::Report && !in_flight);
+    let due = !placement.start_sent || (channel == Channel::Report && !in_flight);
     due.then(|| {
-        place.start_sent = true;
-        Order::Start { task, attempt: place.attempt }
+        placement.start_sent = true;
+        Order::Start { task, attempt: placement.attempt }
     })
 }
--- a/crates/core/src/fleet/reports.rs
+++ b/crates/core/src/fleet/reports.rs
@@ -24,8 +24,10 @@
     pub fn handle_report(&mut self, env: &mut Env, report: Report, tasks: ReportedTasks) -> Option<HttpResponse> {
         let now = env.steady();
         let name = Name::from(report.machine.as_str());
-        let lease_expired =
-            self.machines.get(&name).is_some_and(|m| m.expired_session.is_some_and(|s| report.session <= s));
+        let lease_expired = self
+            .machines
+            .get(&name)
+            .is_some_and(|machine| machine.expired_session.is_some_and(|session| report.session <= session));
         if lease_expired || self.renting.is_gone(&name) {
             // Its tasks are considered lost; a response would renew their lease.
             return Some(HttpResponse::later(503, "the lease of this session has ended"));
@@ -256,8 +258,8 @@
 
     /// Whether this attempt of the task is placed on the machine.
     fn is_placed(&self, key: &TaskKey, machine: &Name, attempt: u64) -> bool {
-        let place = self.jobs.get(&key.0).and_then(|job| job.placements.get(&key.1));
-        place.is_some_and(|place| place.machine == *machine && place.attempt == attempt)
+        let placement = self.jobs.get(&key.0).and_then(|job| job.placements.get(&key.1));
+        placement.is_some_and(|placement| placement.machine == *machine && placement.attempt == attempt)
     }
 
     /// Handles tasks that are placed on the machine but not listed by its worker. A task that was only ordered to
@@ -265,10 +267,10 @@
     fn handle_missing_tasks(&mut self, env: &mut Env, name: &Name, missing: Vec<TaskKey>) {
         let now = env.steady();
         for key in missing {
-            let place = &self.jobs[&key.0].placements[&key.1];
+            let placement = &self.jobs[&key.0].placements[&key.1];
             let may_still_start =
-                self.machines[name].unresolved_starts.contains(&(format!("{}/{}", key.0, key.1), place.attempt));
-            if !matches!(place.stage, Stage::Planned | Stage::Ordered) && !may_still_start {
+                self.machines[name].unresolved_starts.contains(&(format!("{}/{}", key.0, key.1), placement.attempt));
+            if !matches!(placement.stage, Stage::Planned | Stage::Ordered) && !may_still_start {
                 tracing::debug!(job = &*key.0, task = key.1, machine = &**name, "task is missing from its machine");
                 self.clear_placement(env, &key, now);
             }
--- a/crates/core/src/fleet/stops.rs
+++ b/crates/core/src/fleet/stops.rs
@@ -1,4 +1,4 @@
-//! Which tasks a machine must still be ordered to stop.
+//! Determines which tasks a machine must still be ordered to stop.
 //!
 //! Keeps a cancelled task from running longer than it may. A response to a report renews the worker's lease for all
 //! of its tasks, so it carries every stop that has not taken effect, whatever was sent before: an earlier response or
@@ -66,9 +66,10 @@
         let mut message = MachineOrders::with_stops(unexpected_attempts.map(|(attempt, _)| attempt));
         if machine.fenced_at.is_some() && machine.orders_due {
             for key in &machine.tasks {
-                let place = self.jobs.get_mut(&key.0).and_then(|job| job.placements.get_mut(&key.1)).expect("placed");
-                if place.stop.is_some() {
-                    add_stop(now, channel, key, place, &mut message);
+                let placement =
+                    self.jobs.get_mut(&key.0).and_then(|job| job.placements.get_mut(&key.1)).expect("placed");
+                if placement.stop.is_some() {
+                    add_stop(now, channel, key, placement, &mut message);
                 }
             }
         }
@@ -98,29 +99,32 @@
     /// Whether the machine is known to run tasks that must end at once.
     pub(super) fn has_task_to_stop_now(&self, machine: &Machine) -> bool {
         let must_end = |(job, task): &TaskKey| {
-            let place = self.jobs.get(job).and_then(|job| job.placements.get(task));
-            place.is_some_and(|place| place.stage.is_reported() && place.stop.is_some_and(|stop| stop.is_immediate()))
+            let placement = self.jobs.get(job).and_then(|job| job.placements.get(task));
+            placement.is_some_and(|placement| {
+                placement.stage.is_reported() && placement.stop.is_some_and(|stop| stop.is_immediate())
+            })
         };
         machine.unexpected_attempts.iter().any(|(_, exited)| !exited) || machine.tasks.iter().any(must_end)
     }
 }
 
 /// Adds the orders that are due now for a task that must leave its machine.
-fn add_stop(now: Instant, channel: Channel, key: &TaskKey, place: &mut Placement, message: &mut MachineOrders) {
-    let Some(stop) = place.stop.as_mut().filter(|_| !matches!(place.stage, Stage::Planned | Stage::Inherited)) else {
+fn add_stop(now: Instant, channel: Channel, key: &TaskKey, placement: &mut Placement, message: &mut MachineOrders) {
+    let Some(stop) = placement.stop.as_mut().filter(|_| !matches!(placement.stage, Stage::Planned | Stage::Inherited))
+    else {
         return;
     };
-    let (task, attempt) = (format!("{}/{}", key.0, key.1), place.attempt);
-    let sent = if !place.stage.is_reported() {
+    let (task, attempt) = (format!("{}/{}", key.0, key.1), placement.attempt);
+    let added = if !placement.stage.is_reported() {
         // The start may have been lost or may arrive late. Starting and stopping the task at once
         // leaves an entry on the worker that keeps a late duplicate of the start from running.
         let start = Order::Start { task: task.clone(), attempt };
         channel == Channel::Report && message.try_add_stops([start, Order::Stop { task, attempt, grace_s: 0.0 }])
     } else {
-        let due = is_due(now, stop, place.stage);
+        let due = is_due(now, stop, placement.stage);
         due && message.try_add_stops([Order::Stop { task, attempt, grace_s: stop.grace_s }])
     };
-    if sent {
+    if added {
         stop.last_sent = Some(now);
     }
 }
@@ -128,6 +132,7 @@
 /// Whether a stop is to be sent now. An immediate stop goes with every message until it shows an effect, since it can be
 /// repeated freely. A stop with a grace period is repeated only while the task is not saving.
 fn is_due(now: Instant, stop: &StopRequest, stage: Stage) -> bool {
-    let sent_recently = stop.last_sent.is_some_and(|sent| now.duration_since(sent) <= GRACEFUL_STOP_REPEAT_INTERVAL);
+    let sent_recently =
+        stop.last_sent.is_some_and(|sent_at| now.duration_since(sent_at) <= GRACEFUL_STOP_REPEAT_INTERVAL);
     stop.is_immediate() || stop.last_sent.is_none() || stage != Stage::Saving && !sent_recently
 }
--- a/crates/core/src/fleet/survey.rs
+++ b/crates/core/src/fleet/survey.rs
@@ -17,7 +17,7 @@
 use crate::jobs::Name;
 use crate::term::Term;
 
-/// Number of machines with failed direct calls from which a survey is made.
+/// Least number of machines with failed direct calls for which a survey is made.
 pub(super) const MIN_FAILING_FOR_SURVEY: usize = 3;
 /// Number of machines that a survey probes.
 pub(super) const SURVEY_SAMPLE_SIZE: usize = 48;
@@ -50,11 +50,17 @@
             return;
         }
         if due {
-            let can_be_probed =
-                |m: &&Machine| m.up && !m.releasing && !m.unverified && m.direct_call.is_none() && !m.addr.is_empty();
-            let others: Vec<Name> = self.machines.values().filter(can_be_probed).map(|m| m.name.clone()).collect();
+            let can_be_probed = |machine: &&Machine| {
+                machine.up
+                    && !machine.releasing
+                    && !machine.unverified
+                    && machine.direct_call.is_none()
+                    && !machine.addr.is_empty()
+            };
+            let candidates: Vec<Name> =
+                self.machines.values().filter(can_be_probed).map(|machine| machine.name.clone()).collect();
             let sample_size = sample_size.min(self.available_direct_calls(env));
-            let sample: Vec<Name> = others.into_iter().sample(&mut env.rng, sample_size);
+            let sample: Vec<Name> = candidates.into_iter().sample(&mut env.rng, sample_size);
             sample.iter().for_each(|name| self.probe(env, name));
             (self.survey.started_at, self.survey.sample) = (Some(now), sample);
         }
@@ -101,7 +107,7 @@
 
     /// Whether responses of the sample are outstanding; until then this node itself may be out of reach.
     pub(super) fn survey_pending(&self, now: Instant) -> bool {
-        let pending = |name| self.machines.get(name).is_some_and(|m: &Machine| m.direct_call.is_some());
+        let pending = |name| self.machines.get(name).is_some_and(|machine: &Machine| machine.direct_call.is_some());
         self.survey.started_at.is_some_and(|at| now.duration_since(at) < SURVEY_TIMEOUT)
             && self.survey.sample.iter().any(pending)
     }
--- a/crates/core/src/fleet/survey/state.rs
+++ b/crates/core/src/fleet/survey/state.rs
@@ -18,9 +18,9 @@
     pub(super) unresponsive: MachineCounts,
     /// Zones in which most of the sampled machines did not respond.
     pub(super) unreachable_zones: BTreeSet<String>,
-    /// Most machines did not respond, so that likely this node is out of reach rather than they.
+    /// Most sampled machines did not respond, so it is more likely that this node is out of reach.
     pub(in crate::fleet) most_unreachable: bool,
-    /// When so many machines were last unresponsive that a partition is more likely than their failure.
+    /// When a partition was last more likely than the failure of all unresponsive machines.
     pub(super) partitioned_at: Option<Instant>,
 }
 
--- a/crates/core/src/fleet/tasks.rs
+++ b/crates/core/src/fleet/tasks.rs
@@ -1,4 +1,5 @@
-//! The life of tasks on their machines: they run, exit, fail, are stopped, or leave before the cloud reclaims the machine.
+//! The lifecycle of tasks on their machines: they run, exit, fail, are stopped, or leave before the cloud reclaims the
+//! machine.
 
 use std::time::{Duration, Instant};
 
@@ -14,18 +15,18 @@
     pub(super) fn apply_task_report(&mut self, env: &mut Env, key: &TaskKey, report: &TaskReport) {
         let now = env.steady();
         let job = self.jobs.get_mut(&key.0).expect("placed");
-        let place = job.placements.get_mut(&key.1).expect("placed");
-        let previous_stage = place.stage;
-        let started_running = report.state == TaskState::Running && place.running_since.is_none();
+        let placement = job.placements.get_mut(&key.1).expect("placed");
+        let previous_stage = placement.stage;
+        let started_running = report.state == TaskState::Running && placement.running_since.is_none();
         match report.state {
-            TaskState::Fetching => place.stage = Stage::Fetching,
-            TaskState::Saving => place.stage = Stage::Saving,
+            TaskState::Fetching => placement.stage = Stage::Fetching,
+            TaskState::Saving => placement.stage = Stage::Saving,
             TaskState::Running => {
-                place.stage = Stage::Running;
-                if place.running_since.is_none() {
-                    place.running_since = Some(now);
+                placement.stage = Stage::Running;
+                if placement.running_since.is_none() {
+                    placement.running_since = Some(now);
                     job.running_tasks += 1;
-                    let machine = self.machines.get_mut(&place.machine).expect("placed");
+                    let machine = self.machines.get_mut(&placement.machine).expect("placed");
                     machine.images.mark_used(&job.spec.image, job.spec.image_gb);
                 }
             }
@@ -34,9 +35,9 @@
                 return;
             }
         }
-        if previous_stage != place.stage {
-            if place.stop.is_some_and(|stop| stop.last_sent.is_none()) {
-                let machine = place.machine.clone();
+        if previous_stage != placement.stage {
+            if placement.stop.is_some_and(|stop| stop.last_sent.is_none()) {
+                let machine = placement.machine.clone();
                 self.queue_direct_call(&machine);
             }
             self.note_progress(&key.0);
@@ -49,69 +50,69 @@
     }
 
     /// Handles a task that has exited, and ends its placement.
-    fn handle_task_exit(&mut self, env: &mut Env, key: &TaskKey, why: Cause) {
+    fn handle_task_exit(&mut self, env: &mut Env, key: &TaskKey, cause: Cause) {
         let now = env.steady();
         let job = self.jobs.get_mut(&key.0).expect("placed");
-        let place = job.placements[&key.1].clone();
+        let placement = job.placements[&key.1].clone();
         let mut retry_at = now;
-        match why {
+        match cause {
             Cause::Done => {
                 job.mark_done(key.1);
-                if let Some(since) = place.running_since {
+                if let Some(since) = placement.running_since {
                     let run_s = now.duration_since(since).as_secs_f64();
                     job.record_run(run_s);
-                    self.speculation.record_run(&key.0, &place.machine, run_s);
+                    self.speculation.record_run(&key.0, &placement.machine, run_s);
                 }
-                self.task_succeeded(&key.0, &place);
+                self.task_succeeded(&key.0, &placement);
             }
             Cause::Stopped => {}
-            Cause::Error => retry_at = self.task_failed(now, key, &place),
+            Cause::Error => retry_at = self.task_failed(now, key, &placement),
             Cause::InsufficientResources => {
-                let machine = self.machines.get_mut(&place.machine).expect("placed");
+                let machine = self.machines.get_mut(&placement.machine).expect("placed");
                 machine.full_until = Some(now + Duration::from_secs(2));
             }
             Cause::AttemptConflict => retry_at = now + Duration::from_secs(2),
             Cause::UnknownTask => retry_at = now + Duration::from_secs(5),
         }
-        tracing::debug!(job = &*key.0, task = key.1, machine = &*place.machine, ?why, "exited");
+        tracing::debug!(job = &*key.0, task = key.1, machine = &*placement.machine, why = ?cause, "exited");
         self.clear_placement(env, key, retry_at);
-        let machine = self.machines.get_mut(&place.machine).expect("placed");
-        machine.exited.insert((format!("{}/{}", key.0, key.1), place.attempt), key.clone());
+        let machine = self.machines.get_mut(&placement.machine).expect("placed");
+        machine.exited.insert((format!("{}/{}", key.0, key.1), placement.attempt), key.clone());
         self.close_if_over(&key.0);
     }
 
     /// Clears the machine's failures from before the task was placed, and quarantines the other machines on which the
     /// job failed.
-    fn task_succeeded(&mut self, job: &Name, place: &Placement) {
-        let machine = self.machines.get_mut(&place.machine).expect("placed");
-        machine.failed_jobs.retain(|_, at| place.placed_at < *at);
+    fn task_succeeded(&mut self, job: &Name, placement: &Placement) {
+        let machine = self.machines.get_mut(&placement.machine).expect("placed");
+        machine.failed_jobs.retain(|_, at| placement.placed_at < *at);
         // The job works here, so its failures elsewhere are the machines' fault.
         let failed_on = self.jobs[job].failed_on.clone();
-        for name in failed_on.iter().filter(|name| **name != place.machine) {
-            if self.machines.get(name).is_some_and(|m| m.failed_jobs.contains_key(job)) {
+        for name in failed_on.iter().filter(|name| **name != placement.machine) {
+            if self.machines.get(name).is_some_and(|machine| machine.failed_jobs.contains_key(job)) {
                 self.quarantine(name);
             }
         }
     }
 
-    /// Handles a failed task and returns when it may be tried again. Distinguishes machines that
+    /// Handles a failed task and returns when it may be retried. Distinguishes machines that
     /// fail every task from jobs that fail everywhere.
-    fn task_failed(&mut self, now: Instant, key: &TaskKey, place: &Placement) -> Instant {
+    fn task_failed(&mut self, now: Instant, key: &TaskKey, placement: &Placement) -> Instant {
         let job = self.jobs.get_mut(&key.0).expect("placed");
-        job.failed_on.insert(place.machine.clone());
+        job.failed_on.insert(placement.machine.clone());
         job.consecutive_failures += 1;
         let job_works = job.done_count > 0
-            || job.placements.values().any(|p| {
-                p.machine != place.machine
-                    && p.running_since.is_some_and(|t| now.duration_since(t) > Duration::from_secs(5))
+            || job.placements.values().any(|other| {
+                other.machine != placement.machine
+                    && other.running_since.is_some_and(|since| now.duration_since(since) > Duration::from_secs(5))
             });
         let faulty_job = !job_works && job.failed_on.len() >= FAULTY_JOB_MACHINES;
         let failures = job.consecutive_failures;
-        let machine = self.machines.get_mut(&place.machine).expect("placed");
+        let machine = self.machines.get_mut(&placement.machine).expect("placed");
         if !faulty_job {
             machine.failed_jobs.insert(key.0.clone(), now);
             if job_works || machine.failed_jobs.len() >= 2 {
-                let name = place.machine.clone();
+                let name = placement.machine.clone();
                 self.quarantine(&name);
             }
         }
@@ -140,10 +141,10 @@
         let Some(job) = self.jobs.get_mut(&key.0) else {
             return;
         };
-        let Some(place) = job.placements.remove(&key.1) else {
+        let Some(placement) = job.placements.remove(&key.1) else {
             return;
         };
-        if place.running_since.is_some() {
+        if placement.running_since.is_some() {
             job.running_tasks -= 1;
         }
         if job.cancelled {
@@ -151,7 +152,7 @@
         }
         job.requeue(key.1, retry_at);
         self.quotas.sub(&job.spec);
-        if let Some(machine) = self.machines.get_mut(&place.machine) {
+        if let Some(machine) = self.machines.get_mut(&placement.machine) {
             machine.remove_task(key, &job.spec, now);
         }
         self.records.mark_changed(key.clone(), None);
@@ -163,18 +164,18 @@
 
     /// Orders a task to stop on its machine. If its start was never sent, its placement just ends.
     pub fn stop_task(&mut self, env: &mut Env, job: &Name, task: u32, grace: f64) {
-        let Some(place) = self.jobs.get_mut(job).and_then(|job| job.placements.get_mut(&task)) else {
+        let Some(placement) = self.jobs.get_mut(job).and_then(|job| job.placements.get_mut(&task)) else {
             return;
         };
-        if !place.start_sent {
+        if !placement.start_sent {
             let now = env.steady();
             self.clear_placement(env, &(job.clone(), task), now);
             return;
         }
         let stop = StopRequest::new(grace);
-        if place.stop.is_none_or(|earlier| stop.is_stricter_than(&earlier)) {
-            place.stop = Some(stop);
-            let name = place.machine.clone();
+        if placement.stop.is_none_or(|earlier| stop.is_stricter_than(&earlier)) {
+            placement.stop = Some(stop);
+            let name = placement.machine.clone();
             if let Some(machine) = self.machines.get_mut(&name) {
                 machine.orders_due = true;
                 machine.has_immediate_stops |= stop.is_immediate();
@@ -201,20 +202,20 @@
         }
         machine.reclaimed_at = Some(now + remaining);
         let keys: Vec<TaskKey> = machine.tasks.iter().cloned().collect();
-        for (job, task) in keys {
-            let Some(owner) = self.jobs.get(&job) else {
+        for (job_name, task) in keys {
+            let Some(job) = self.jobs.get(&job_name) else {
                 continue;
             };
-            let spec = &owner.spec;
-            let place = &owner.placements[&task];
-            let ran_for_s = place.running_since.map_or(0.0, |since| now.duration_since(since).as_secs_f64());
+            let spec = &job.spec;
+            let placement = &job.placements[&task];
+            let ran_for_s = placement.running_since.map_or(0.0, |since| now.duration_since(since).as_secs_f64());
             let finishes_in_time = spec.kind == Kind::Array
-                && place.running_since.is_some()
-                && (owner.mean_run_s - ran_for_s).max(0.0) + 1.0 < remaining.as_secs_f64();
-            if !finishes_in_time && place.stop.is_none() {
-                let saves = spec.checkpoint_interval_s > 0.0 && place.running_since.is_some();
-                let grace = if saves { spec.save_s } else { 0.0 };
-                self.stop_task(env, &job, task, grace);
+                && placement.running_since.is_some()
+                && (job.mean_run_s - ran_for_s).max(0.0) + 1.0 < remaining.as_secs_f64();
+            if !finishes_in_time && placement.stop.is_none() {
+                let can_save = spec.checkpoint_interval_s > 0.0 && placement.running_since.is_some();
+                let grace = if can_save { spec.save_s } else { 0.0 };
+                self.stop_task(env, &job_name, task, grace);
             }
         }
     }
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -31,9 +31,9 @@
 /// Urgency of a call to the state service, the most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// Leadership and the knowledge that it depends on.
+    /// A call on which leadership or the right to respond to reports depends.
     Leadership,
-    /// A record that the start of a task or the end of a job waits for.
+    /// A call for records that the start of a task or the end of a job waits for.
     Record,
     /// A call that a user waits for.
     High,
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -32,6 +32,7 @@
     pub(crate) term: Option<Term>,
     pub(crate) users: UserRequests,
     pub(crate) store_health: StoreHealth,
+    /// Number that differs for each process that runs as this node.
     incarnation: u64,
     peers: BTreeMap<String, Peer>,
     types_requested_at: Option<Instant>,
@@ -66,17 +67,17 @@
     /// Whether calls have failed for so long that users' requests are rejected at once. Calls that
     /// hang fail late, so the time since the last successful one counts as well.
     pub fn is_down(&self, now: Instant) -> bool {
-        let longer_than = |since: Option<Instant>, limit| since.is_some_and(|t| now.duration_since(t) > limit);
+        let longer_than = |since: Option<Instant>, limit| since.is_some_and(|at| now.duration_since(at) > limit);
         self.failing_since.is_some()
             && (longer_than(self.failing_since, MAX_FAILING_TIME)
-                || longer_than(self.last_success_at, MAX_UNANSWERED_TIME))
+                || longer_than(self.last_success_at, MAX_TIME_WITHOUT_SUCCESS))
     }
 }
 
 /// The state service counts as down once calls have failed for this long.
 const MAX_FAILING_TIME: Duration = Duration::from_millis(1500);
 /// The state service counts as down if calls fail and none has succeeded for this long.
-const MAX_UNANSWERED_TIME: Duration = Duration::from_millis(2000);
+const MAX_TIME_WITHOUT_SUCCESS: Duration = Duration::from_millis(2000);
 /// Time between requests to the other controllers.
 const PEER_REQUEST_INTERVAL: Duration = Duration::from_millis(2000);
 /// Time between probes of the state service while it is down.
@@ -91,7 +92,7 @@
 const MIN_REDIRECT_BUSY_SHARE: f64 = 0.5;
 /// How long a node that stepped down lets the others be candidates.
 pub(crate) const CANDIDACY_PAUSE: Duration = Duration::from_secs(6);
-/// The same for a node that stepped down because most machines and all controllers are unreachable.
+/// The same for a node that stepped down because most machines and all other controllers are unreachable.
 const SHORT_CANDIDACY_PAUSE: Duration = Duration::from_millis(1500);
 /// A node that leads again within this time after stepping down isn't partitioned: the others are.
 const RECENT_STEP_DOWN_AGE: Duration = Duration::from_secs(60);
@@ -183,8 +184,8 @@
         if let Some(term) = &mut self.term {
             term.controllers = controllers;
             term.tick(&mut self.env);
-            // While the state service is down reports are rejected on purpose, and no other node
-            // could take over.
+            // While the state service is down, reports are rejected on purpose and no other node could
+            // take over.
             if term.partitioned && !self.store_health.is_down(self.env.now.steady) {
                 self.step_down("few workers can reach this node");
                 self.election.delay_candidacy(self.env.now.steady, CANDIDACY_PAUSE);
@@ -248,7 +249,7 @@
     fn probe_store(&mut self) {
         let now = self.env.steady();
         if self.store_health.is_down(now)
-            && self.store_probed_at.is_none_or(|t| now.duration_since(t) >= STORE_PROBE_INTERVAL)
+            && self.store_probed_at.is_none_or(|at| now.duration_since(at) >= STORE_PROBE_INTERVAL)
         {
             self.store_probed_at = Some(now);
             self.env.call_store(Purpose::Probe, Urgency::Leadership, StoreOp::Get(LEADER_KEY.into()));
@@ -281,7 +282,7 @@
     fn readiness(&mut self, request_id: RequestId) {
         let now = self.env.steady();
         // If only this node can't reach the state service, the load balancer should send its users
-        // elsewhere. If no node can, staying in the load balancer saves the time to get back in.
+        // elsewhere. If no node can, staying in its rotation saves the time to be added again.
         let peer_has_store = self.peers.values().any(|peer| {
             peer.last_response.as_ref().is_some_and(|(requested_at, response)| {
                 response.store_ok && now.duration_since(*requested_at) < Duration::from_secs(4)
@@ -373,7 +374,7 @@
         let mut term = Term::new(token, self.env.steady(), predecessors_inactive_at, facts, &self.env.policy);
         term.start_loading(&mut self.env);
         self.term = Some(term);
-        // The peers are asked at once, to learn whether an earlier leader is still active.
+        // Requests go to the peers at once, to learn whether an earlier leader is still active.
         self.peer_requests_sent_at = None;
     }
 
--- a/crates/core/src/node/machine_types.rs
+++ b/crates/core/src/node/machine_types.rs
@@ -32,12 +32,12 @@
     /// Requests the machine types, if that is due.
     pub(super) fn types_tick(&mut self) {
         let now = self.env.steady();
-        let period = match (self.env.machine_types.is_empty(), self.term.is_some()) {
+        let interval = match (self.env.machine_types.is_empty(), self.term.is_some()) {
             (true, _) => TYPES_RETRY_INTERVAL,
             (false, true) => TYPES_REFRESH_INTERVAL,
             (false, false) => return,
         };
-        if self.types_request_pending || self.types_requested_at.is_some_and(|t| now.duration_since(t) < period) {
+        if self.types_request_pending || self.types_requested_at.is_some_and(|at| now.duration_since(at) < interval) {
             return;
         }
         self.types_requested_at = Some(now);
--- a/crates/core/src/node/peers.rs
+++ b/crates/core/src/node/peers.rs
@@ -27,18 +27,18 @@
     /// Sends a request to each other controller, if that is due.
     pub(super) fn peers_tick(&mut self) {
         let now = self.env.steady();
-        if self.peer_requests_sent_at.is_some_and(|t| now.duration_since(t) < PEER_REQUEST_INTERVAL) {
+        if self.peer_requests_sent_at.is_some_and(|at| now.duration_since(at) < PEER_REQUEST_INTERVAL) {
             return;
         }
         self.peer_requests_sent_at = Some(now);
         let progress = self.term.as_mut().map(Term::take_progress).unwrap_or_default();
         let token = self.token();
-        let full = self.term.as_ref().is_some_and(|term| {
+        let limit_reached = self.term.as_ref().is_some_and(|term| {
             let bytes: usize = term.jobs.values().map(Job::memory_bytes).sum();
             term.jobs.len() >= self.env.policy.max_jobs || bytes >= self.env.facts.max_job_bytes
         });
         if token.is_some() {
-            self.users.job_limit_reached = full;
+            self.users.job_limit_reached = limit_reached;
         }
         for (label, peer) in &mut self.peers {
             if peer.request_pending {
@@ -49,7 +49,7 @@
             let request = PeerRequest {
                 label: self.env.facts.label.clone(),
                 token,
-                job_limit_reached: full,
+                job_limit_reached: limit_reached,
                 progress: progress.clone(),
             };
             self.env.outputs.push(Output::Peer { label: label.clone(), request });
@@ -103,7 +103,7 @@
         for peer in self.peers.values() {
             match &peer.last_response {
                 Some((requested_at, response))
-                    if *requested_at >= term.started_at && response.token.is_none_or(|t| t >= term.token) =>
+                    if *requested_at >= term.started_at && response.token.is_none_or(|token| token >= term.token) =>
                 {
                     latest = latest.max(*requested_at);
                 }
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -1,6 +1,6 @@
 //! Relays workers' reports from a follower to the leader, many at a time, and passes the leader's
-//! responses back. So all controllers share the fleet's connections and the parsing of its messages,
-//! which keeps the leader from being overloaded, and connections stay when the leader changes.
+//! responses back. All controllers thus share the fleet's connections and the parsing of its messages,
+//! which keeps the leader from being overloaded, and workers stay connected when the leader changes.
 //!
 //! A relaying node decides nothing: each response is made by the leader for that one report. A worker
 //! counts its lease from when it sent the report and ignores responses that come after a few seconds,
@@ -137,8 +137,8 @@
         }
         if self.token() == Some(relay.token) {
             for relayed in relay.reports {
-                let (report, digest, full) = unpack(relayed);
-                let tasks = if full { ReportedTasks::Parsed(digest) } else { ReportedTasks::Digest(digest) };
+                let (report, digest, has_tasks) = unpack(relayed);
+                let tasks = if has_tasks { ReportedTasks::Parsed(digest) } else { ReportedTasks::Digest(digest) };
                 response.answers.push(match self.respond_to_report(report, tasks) {
                     ReportOutcome::Response(HttpResponse { status, body, retry_after_s }) => {
                         Some(RelayedResponse { status, body, retry_after_s })
--- a/crates/core/src/relay/state.rs
+++ b/crates/core/src/relay/state.rs
@@ -28,8 +28,9 @@
     pub(super) request_id: RequestId,
     pub(super) report: Report,
     pub(super) tasks: Box<RawValue>,
+    /// Digest of `tasks`.
     pub(super) digest: u64,
-    /// The leader asked for the list of tasks.
+    /// The leader requested the list of tasks.
     pub(super) tasks_requested: bool,
 }
 
@@ -38,6 +39,7 @@
     pub(super) token: u64,
     pub(super) digest: u64,
     pub(super) addr: String,
+    /// When the leader last responded to a report of the worker.
     pub(super) at: Instant,
 }
 
--- a/crates/core/src/term.rs
+++ b/crates/core/src/term.rs
@@ -26,7 +26,7 @@
 const MAX_TICK_DELAY: Duration = Duration::from_millis(50);
 /// Minimum number of direct calls that may be started per tick.
 const MIN_CALLS_PER_TICK: usize = 2;
-/// At first a tick may start this part of the maximum number of direct calls.
+/// The initial number of direct calls per tick is the maximum number of concurrent ones divided by this.
 const INITIAL_CALL_DIVISOR: usize = 4;
 
 /// The records that are being loaded; `after` is the last key read.
@@ -71,7 +71,7 @@
     pub predecessors_inactive_at: Instant,
     /// Every other node has confirmed that it doesn't lead with an older token.
     pub predecessors_known_inactive: bool,
-    /// When a report last got a response before the state was loaded, so that it isn't recorded for its machine.
+    /// When a report last got a response before the records were loaded. The response isn't noted for its machine.
     pub last_response_before_load: Option<Instant>,
     /// When a worker last reported to this node directly, not through a relay.
     pub last_direct_report: Instant,
@@ -85,9 +85,9 @@
     pub watch_pending: bool,
     /// When the current read of all jobs was started.
     pub job_read_started_at: Instant,
-    /// Every cancellation confirmed before this time is known: it is when the request was sent whose
-    /// response showed them. Renewals of the lease don't prove this, because a watch may be closed,
-    /// rejected, rate limited or hang while they succeed.
+    /// Every cancellation confirmed before this time is known. It is the time at which the read or
+    /// watch was sent whose response showed them. Renewals of the lease don't prove this, because a
+    /// watch may be closed, rejected, rate limited or hang while they succeed.
     pub cancellations_known_until: Option<Instant>,
     /// When the last confirmed renewal of the leader's lease was sent.
     pub lease_renewed_at: Instant,
@@ -132,7 +132,7 @@
     pub last_liveness_check: Option<Instant>,
     /// Jobs whose progress has changed since it was last sent to the other controllers.
     pub jobs_with_progress: BTreeSet<Name>,
-    /// Most workers can't reach this node, as if it were partitioned from them.
+    /// Most workers can't reach this node, so it is probably partitioned from them.
     pub partitioned: bool,
     pub survey: Survey,
     /// Statistics of the stops of cancelled tasks, for the log.
@@ -251,8 +251,8 @@
             .collect()
     }
 
-    /// Whether cancellations are known up to recently enough to respond to reports. A worker that gets
-    /// a response keeps its tasks running for another lease.
+    /// Whether this leader's knowledge of cancellations is recent enough to respond to reports. A worker
+    /// that gets a response keeps its tasks running for another lease.
     pub fn cancellations_are_current(&self, now: Instant, facts: &Facts) -> bool {
         self.cancellations_known_until
             .is_some_and(|known_until| now.saturating_duration_since(known_until) <= facts.self_fencing_timeout())
@@ -273,8 +273,8 @@
         tracing::info!(token, view_age_ms, renewed_ms, revision = self.watch_revision, "responses to reports {change}");
     }
 
-    /// Records a confirmed renewal of the lease. Returns whether renewals have succeeded for so long
-    /// without any news of cancellations that another node should lead.
+    /// Records a confirmed renewal of the leader's lease. Returns whether renewals have succeeded for so
+    /// long without a response that shows the cancellations that another node should lead.
     pub fn lease_renewed(&mut self, sent: Instant, ttl: Duration, facts: &Facts) -> bool {
         self.renewed_without_watch += sent.saturating_duration_since(self.lease_renewed_at).min(ttl);
         self.lease_renewed_at = self.lease_renewed_at.max(sent);
