--- a/crates/core/src/calls.rs
+++ b/crates/core/src/calls.rs
@@ -1,4 +1,4 @@
-//! The purposes of calls to other systems. The purpose of a call is kept until its outcome arrives, and determines how
+//! Purposes of the calls to other systems. The purpose of a call is kept until its outcome arrives, and determines how
 //! the outcome is handled.
 
 use std::collections::BTreeSet;
@@ -55,11 +55,11 @@
     /// Deletes a leader key that an earlier incarnation of this node wrote.
     DeleteOwnKey,
     /// Creates the lease of a candidate.
-    Lease { sent: Instant },
+    NewLease { sent_at: Instant },
     /// Writes the leader key.
-    Claim { lease: u64, sent: Instant },
+    Claim { lease: u64, sent_at: Instant },
     /// Renews the leader's lease.
-    RenewLease { sent: Instant },
+    RenewLease { sent_at: Instant },
     /// Ends the lease of a leader or candidate that gives up.
     EndLease,
 }
@@ -78,7 +78,7 @@
     /// Reads the record of zones.
     Failover,
     /// Watches the jobs' records for changes.
-    Watch { sent: Instant },
+    Watch { sent_at: Instant },
     /// Reads the record of a job on which others depend.
     Dependency(Name),
 }
@@ -94,9 +94,9 @@
     pub new_placements: bool,
     /// Pages of tasks, by job and page number.
     pub pages: Vec<(Name, u32)>,
-    /// Numbers of the values of the record of open moves.
+    /// Numbers of the parts of the record of open moves that are written.
     pub moves: Vec<usize>,
-    /// Tasks and attempts of the moves that wait for those values to be durable.
+    /// Tasks and attempts of the moves that wait for those parts to be durable.
     pub waiting_moves: Vec<(TaskKey, u64)>,
     /// Whether the record of zones is written.
     pub failover: bool,
@@ -142,7 +142,7 @@
     /// Creates the records of a job.
     Create(Creation),
     /// Reads a job's record before a submission is refused, since an accepted job must never be refused.
-    Refuse { request: RequestId, job: String, answer: HttpResponse },
+    Refuse { request: RequestId, job: String, response: HttpResponse },
     /// Reads the record of a job that is to be cancelled.
     CancelRead { request: RequestId, job: String },
     /// Records the cancellation of a job.
--- a/crates/core/src/place/pass.rs
+++ b/crates/core/src/place/pass.rs
@@ -106,7 +106,7 @@
     }
     let elapsed_s = |since_ms: u64| env.now.wall_ms as f64 / 1000.0 - since_ms as f64 / 1000.0;
     let expected_total_s = elapsed_s(job.eligible_ms) + job.mean_run_s;
-    let objectives = env.facts.objectives.iter().filter(|objective| objective.kind == "finished");
+    let objectives = env.facts.objectives.iter().filter(|objective| objective.measure == "finished");
     let time_limits = objectives
         .filter(|objective| objective.class.as_ref() == Some(&job.spec.class))
         .filter_map(|objective| objective.time_limit);
@@ -301,7 +301,7 @@
             .facts
             .objectives
             .iter()
-            .find(|objective| objective.kind == "guarantee")
+            .find(|objective| objective.measure == "guarantee")
             .and_then(|objective| objective.time_limit);
         let patience = allowed_wait.unwrap_or(DEFAULT_PATIENCE).mul_f64(env.policy.preemption_delay_share);
         u128::from(env.now.wall_ms.saturating_sub(job.eligible_ms)) >= patience.as_millis()
--- a/crates/core/src/relay/state.rs
+++ b/crates/core/src/relay/state.rs
@@ -28,9 +28,10 @@
     pub(super) request_id: RequestId,
     pub(super) report: Report,
     pub(super) tasks: Box<RawValue>,
+    /// Digest of `tasks`.
     pub(super) digest: u64,
-    /// The leader asked for the list of tasks.
-    pub(super) full: bool,
+    /// The leader requested the list of tasks.
+    pub(super) tasks_requested: bool,
 }
 
 /// The tasks of a worker that the leader last received from this node.
@@ -38,6 +39,7 @@
     pub(super) token: u64,
     pub(super) digest: u64,
     pub(super) addr: String,
+    /// When the leader last responded to a report of the worker.
     pub(super) at: Instant,
 }
 
@@ -52,5 +54,5 @@
     pub(super) last_sent_at: Option<Instant>,
     pub(super) last_sweep_at: Option<Instant>,
     /// Number of workers that may be redirected before the next tick.
-    pub(super) redirects_left: u32,
+    pub(super) redirect_budget: u32,
 }
