--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -303,7 +303,8 @@
         if machine.images.contains(&job.spec.image) {
             return 0.0;
         }
-        let rate = env.machine_type(&machine.type_name).map_or(1.0, |machine_type| machine_type.fetch_gb_per_s.max(0.01));
+        let rate =
+            env.machine_type(&machine.type_name).map_or(1.0, |machine_type| machine_type.fetch_gb_per_s.max(0.01));
         let alone_s = job.spec.image_gb / rate;
         let mut fetching: BTreeSet<&str> = BTreeSet::new();
         for (name, task) in &machine.tasks {
