--- a/crates/core/tests/balance/bursts.rs
+++ b/crates/core/tests/balance/bursts.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn a_burst_on_few_machines_is_evened_out_within_a_minute() {
-    let mut simulation = skewed_world(4, 12, rebalancing_policy());
+    let mut simulation = skewed_fleet(4, 12, rebalancing_policy());
     let services: BTreeSet<_> = simulation.running_tasks(&job_id(1)).into_iter().collect();
     let mut history = TaskHistory::default();
     let fairness_before = fairness_index(&simulation, &[1, 2, 3]);
@@ -36,7 +36,7 @@
 
 #[test]
 fn no_task_is_moved_while_rebalancing_is_off() {
-    let mut simulation = skewed_world(4, 12, Policy { balance: None, ..rebalancing_policy() });
+    let mut simulation = skewed_fleet(4, 12, Policy { balance: None, ..rebalancing_policy() });
     let mut history = TaskHistory::default();
     history.run(&mut simulation, &[1, 2, 3], secs(64));
     assert_eq!(history.move_counts().0, 0);
@@ -45,7 +45,7 @@
 
 #[test]
 fn alternating_bursts_do_not_move_tasks_back_and_forth() {
-    let mut simulation = skewed_world(4, 12, rebalancing_policy());
+    let mut simulation = skewed_fleet(4, 12, rebalancing_policy());
     let mut history = TaskHistory::default();
     let jobs: Vec<u32> = (1..12).collect();
     // Every 30 s a burst of the other team arrives, and an earlier burst is cancelled.
@@ -171,7 +171,7 @@
 
 #[test]
 fn a_task_is_moved_only_once_despite_new_machines_and_new_leaders() {
-    let mut simulation = skewed_world(4, 4, rebalancing_policy());
+    let mut simulation = skewed_fleet(4, 4, rebalancing_policy());
     let mut history = TaskHistory::default();
     history.run(&mut simulation, &[1, 2, 3], secs(50));
     let counts_before = history.move_counts();
--- a/crates/core/tests/balance/failures.rs
+++ b/crates/core/tests/balance/failures.rs
@@ -16,7 +16,7 @@
     for (delay_ms, old_version_between) in
         [(0, false), (60, true), (300, false), (900, true), (1500, false), (2400, true), (3500, false)]
     {
-        let mut simulation = skewed_world(4, 8, rebalancing_policy());
+        let mut simulation = skewed_fleet(4, 8, rebalancing_policy());
         let mut history = TaskHistory::default();
         history.run(&mut simulation, &[1, 2, 3], millis(200));
         run_until_moves_open(&mut simulation, 3);
@@ -82,7 +82,7 @@
 fn destinations_fail_or_become_unreachable_in_each_state_of_a_move() {
     for delay_ms in [0, 200, 500, 900, 1500] {
         for fault in ["dies", "notice", "hangs", "deaf", "is partitioned"] {
-            let (mut simulation, mut history, _, destinations) = world_with_open_moves(rebalancing_policy());
+            let (mut simulation, mut history, _, destinations) = fleet_with_open_moves(rebalancing_policy());
             history.run(&mut simulation, &[1, 2, 3], millis(delay_ms));
             let now = simulation.now;
             for machine in &destinations {
@@ -110,7 +110,7 @@
 #[test]
 fn sources_are_partitioned_while_saving_and_receive_stops_late() {
     for delay_ms in [0, 200, 500, 900] {
-        let (mut simulation, mut history, sources, _) = world_with_open_moves(rebalancing_policy());
+        let (mut simulation, mut history, sources, _) = fleet_with_open_moves(rebalancing_policy());
         // Direct calls are delayed and arrive when the machines are reachable again.
         let reachable_at = simulation.now + millis(delay_ms) + secs(18);
         simulation.delayed_orders_until.extend(sources.iter().map(|machine| (machine.clone(), reachable_at)));
@@ -127,7 +127,7 @@
 #[test]
 fn a_zone_is_lost_with_some_of_the_open_moves() {
     for zone in ZONES {
-        let mut simulation = skewed_world(12, 24, rebalancing_policy());
+        let mut simulation = skewed_fleet(12, 24, rebalancing_policy());
         let mut history = TaskHistory::default();
         history.run(&mut simulation, &[1, 2, 3], millis(200));
         let open = run_until_moves_open(&mut simulation, 4);
@@ -155,7 +155,7 @@
 #[test]
 fn jobs_are_cancelled_in_each_state_of_their_moves() {
     for delay_ms in [0, 100, 200, 350, 500, 700, 900, 1300] {
-        let (mut simulation, mut history, _, _) = world_with_open_moves(rebalancing_policy());
+        let (mut simulation, mut history, _, _) = fleet_with_open_moves(rebalancing_policy());
         history.run(&mut simulation, &[1, 2, 3], millis(delay_ms));
         for id in [2, 3] {
             let response = simulation.cancel(id as usize % 3, &job_id(id)).and_then(|(_, view)| view);
@@ -181,7 +181,7 @@
 fn the_state_service_is_down_or_unreachable_for_the_leader_during_moves() {
     for delay_ms in [0, 200, 600] {
         for (leader_only, outage_s) in [(false, 5), (false, 35), (true, 5), (true, 20)] {
-            let (mut simulation, mut history, _, _) = world_with_open_moves(rebalancing_policy());
+            let (mut simulation, mut history, _, _) = fleet_with_open_moves(rebalancing_policy());
             history.run(&mut simulation, &[1, 2, 3], millis(delay_ms));
             let leader = simulation.leader().expect("a leader");
             if leader_only {
@@ -206,7 +206,7 @@
 #[test]
 fn transactions_of_moves_are_applied_late_or_lose_their_responses() {
     for responses_lost in [false, true] {
-        let (mut simulation, mut history, _, _) = world_with_open_moves(rebalancing_policy());
+        let (mut simulation, mut history, _, _) = fleet_with_open_moves(rebalancing_policy());
         let leader = simulation.leader().expect("a leader");
         for _ in 0..6 {
             if responses_lost {
@@ -276,7 +276,7 @@
 #[test]
 fn a_move_ends_before_the_stop_if_its_destination_fails_before_it_is_recorded() {
     for destinations_gone in [false, true] {
-        let mut simulation = skewed_world(4, 8, rebalancing_policy());
+        let mut simulation = skewed_fleet(4, 8, rebalancing_policy());
         let leader = simulation.leader().expect("a leader");
         let until = simulation.now + secs(5);
         simulation.slow_txns_until.insert(leader, until);
--- a/crates/core/tests/balance/support.rs
+++ b/crates/core/tests/balance/support.rs
@@ -82,7 +82,7 @@
 
 /// Returns a world with `full` machines that are filled by two jobs and a service, and `idle` machines that came up
 /// afterwards.
-pub fn skewed_world(full: usize, idle: usize, policy: Policy) -> Simulation {
+pub fn skewed_fleet(full: usize, idle: usize, policy: Policy) -> Simulation {
     let mut simulation = Simulation::with_facts(deployment_facts(), full, policy, &ZONES);
     simulation.task_duration_s = 300.0;
     simulation.boot_time = secs(2);
@@ -161,8 +161,8 @@
 
 /// Returns a skewed world in which moves are under way, with tasks that take a while to save, and the sources and
 /// destinations of the moves.
-pub fn world_with_open_moves(policy: Policy) -> (Simulation, TaskHistory, BTreeSet<String>, BTreeSet<String>) {
-    let mut simulation = skewed_world(4, 8, policy);
+pub fn fleet_with_open_moves(policy: Policy) -> (Simulation, TaskHistory, BTreeSet<String>, BTreeSet<String>) {
+    let mut simulation = skewed_fleet(4, 8, policy);
     let mut history = TaskHistory::default();
     history.run(&mut simulation, &[1, 2, 3], millis(200));
     run_until_moves_open(&mut simulation, 2);
--- a/crates/core/tests/dependencies.rs
+++ b/crates/core/tests/dependencies.rs
@@ -165,7 +165,7 @@
 }
 
 /// Returns a world with large values in the state service, whose nodes do not know the coming limits.
-fn world_with_large_values() -> Simulation {
+fn fleet_with_large_values() -> Simulation {
     let mut simulation = Simulation::with_elected_leader(6);
     simulation.steps_per_check = 3;
     simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 12.0);
@@ -210,7 +210,7 @@
 #[test]
 fn lower_limits_take_effect_during_a_takeover() {
     for delay_ms in [0, 900, 1500, 2500] {
-        let mut simulation = world_with_large_values();
+        let mut simulation = fleet_with_large_values();
         roll_out_lower_limits(&mut simulation, secs(1));
         let leader = simulation.leader().unwrap_or_default();
         simulation.crash_node(leader);
@@ -235,7 +235,7 @@
 
 #[test]
 fn lower_limits_take_effect_at_the_end_of_a_rollout() {
-    let mut simulation = world_with_large_values();
+    let mut simulation = fleet_with_large_values();
     let types: Vec<String> = (0..200).map(|n| format!("type-of-machine-{n:04}")).chain(["m16".into()]).collect();
     let large = JobSpec { types: Some(types), ..dependent_job(5, 1, &[4]) };
     assert_eq!(simulation.submit(0, large), Some(201));
--- a/crates/core/tests/failover/returns.rs
+++ b/crates/core/tests/failover/returns.rs
@@ -99,21 +99,21 @@
 
 #[test]
 fn a_zone_that_receives_nothing_is_lost_despite_its_old_reports() {
-    for reports_held in [false, true] {
+    for reports_delayed in [false, true] {
         let mut simulation = busy_fleet(24, failover_on());
         let zone = zone_without_leader(&simulation);
         let zone_machines = machines_in(&simulation, ZONES[zone]);
         let running_before = total_running_tasks(&simulation);
         // Copies of their reports arrive later than a lease lasts.
         simulation.duplicated_reports_after.extend(zone_machines.iter().map(|machine| (machine.clone(), secs(14))));
-        if reports_held {
+        if reports_delayed {
             let until = simulation.now + secs(16);
             simulation.delayed_reports_until.extend(zone_machines.iter().map(|machine| (machine.clone(), until)));
         }
         simulation.lost_inbound.extend(zone_machines.iter().cloned());
         run_until_zone_state(&mut simulation, zone, "lost", secs(10));
         simulation.run(secs(14));
-        assert_eq!(total_running_tasks(&simulation), running_before, "reports held: {reports_held}");
+        assert_eq!(total_running_tasks(&simulation), running_before, "reports held: {reports_delayed}");
         simulation.lost_inbound.clear();
         simulation.delayed_reports_until.clear();
         simulation.run(secs(40));
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -16,7 +16,7 @@
     let wide_array = |id| JobSpec { team: "blue".into(), cpus: 0.02, memory_gb: 0.1, ..job(id, 200) };
     (5..8).for_each(|id| assert_eq!(simulation.submit(0, wide_array(id)), Some(201)));
     simulation.run(secs(8));
-    let (rows, rules) = (std::mem::take(&mut simulation.store.rows), std::mem::take(&mut simulation.checker));
+    let (rows, checker) = (std::mem::take(&mut simulation.store.rows), std::mem::take(&mut simulation.checker));
     let largest = rows.values().map(|(value, ..)| value.to_string().len()).max();
     assert!(largest > Some(2048), "no large values: {largest:?}");
     let lower_limits = Facts { value_bytes: 2048, txn_ops: 5, ..facts(0, 3) };
@@ -26,7 +26,7 @@
     simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 20.0);
     (1..5).for_each(|id| drop(simulation.specs.insert(job_id(id), service(id, 14))));
     (5..8).for_each(|id| drop(simulation.specs.insert(job_id(id), wide_array(id))));
-    simulation.checker = rules;
+    simulation.checker = checker;
     simulation.store.rows = rows.into_iter().filter(|(key, _)| key != "lead").collect();
     simulation.store.revision = simulation.store.rows.values().map(|row| row.1).max().unwrap_or_default();
     (simulation.store.max_txn_writes, simulation.store.max_value_bytes) = (5, 2048);
--- a/crates/core/tests/state_service.rs
+++ b/crates/core/tests/state_service.rs
@@ -5,7 +5,7 @@
 use rushyoke_wire::job::JobStatus;
 
 /// Returns a node other than the given one.
-fn another_node(node: usize) -> usize {
+fn next_node(node: usize) -> usize {
     (node + 1) % 3
 }
 
@@ -47,7 +47,7 @@
     let mut spec = service(1, 2);
     spec.cpus = 16.0;
     simulation.timed_out_txns_until.insert(leader, simulation.now + secs(30));
-    simulation.submit(another_node(leader), spec);
+    simulation.submit(next_node(leader), spec);
     simulation.run(secs(1));
     simulation.timed_out_txns_until.clear();
     simulation.run(secs(6));
@@ -91,11 +91,11 @@
     simulation.run(secs(2));
     let leader = simulation.leader().expect("a leader");
     simulation.timed_out_txns_until.insert(leader, simulation.now + secs(8));
-    simulation.submit(another_node(leader), small_job(2, 10));
+    simulation.submit(next_node(leader), small_job(2, 10));
     simulation.run(secs(1));
     simulation.timed_out_txns_until.clear();
     // These tasks no longer fit into the segment.
-    simulation.submit(another_node(leader), small_job(3, 60));
+    simulation.submit(next_node(leader), small_job(3, 60));
     simulation.run(secs(20));
     assert_eq!(simulation.late_commits, 0, "a late transaction was applied");
     assert_eq!(simulation.started_tasks, 220);
@@ -115,7 +115,7 @@
     simulation.crash_node(leader);
     simulation.run(secs(15));
     assert!(simulation.running_tasks("wk-000001").len() > 100);
-    let view = simulation.status(another_node(leader), "wk-000001").and_then(|s| s.1).expect("a response");
+    let view = simulation.status(next_node(leader), "wk-000001").and_then(|s| s.1).expect("a response");
     assert!(view.done.is_some_and(|done| done > 100), "{view:?}");
 }
 
@@ -125,7 +125,7 @@
     // calls to the store.
     let mut simulation = Simulation::with_elected_leader(1);
     simulation.submit(0, job(1, 2));
-    let follower = another_node(simulation.leader().expect("a leader"));
+    let follower = next_node(simulation.leader().expect("a leader"));
     simulation.partitioned_from_store.insert(follower);
     simulation.status(follower, "wk-000001");
     simulation.run(secs(3));
--- a/crates/core/tests/submissions.rs
+++ b/crates/core/tests/submissions.rs
@@ -5,7 +5,7 @@
 use rushyoke_wire::job::JobStatus;
 
 /// Returns a node other than the given one.
-fn another_node(node: usize) -> usize {
+fn next_node(node: usize) -> usize {
     (node + 1) % 3
 }
 
@@ -124,7 +124,7 @@
 fn status_requests_for_unknown_jobs_do_not_use_up_all_store_calls() {
     let mut simulation = Simulation::with_elected_leader(1);
     simulation.submit(0, service(1, 2));
-    let node = another_node(simulation.leader().expect("a leader"));
+    let node = next_node(simulation.leader().expect("a leader"));
     let mut ids: Vec<String> = (1000..1400).map(|id| format!("wk-{id:06}")).collect();
     ids.push("wk-000001".into());
     let requests_before = simulation.store.requests;
--- a/crates/core/tests/takeovers.rs
+++ b/crates/core/tests/takeovers.rs
@@ -7,7 +7,7 @@
 use rushyoke_wire::job::JobStatus;
 
 /// Returns a node other than the given one.
-fn another_node(node: usize) -> usize {
+fn next_node(node: usize) -> usize {
     (node + 1) % 3
 }
 
@@ -21,7 +21,7 @@
     assert_eq!(simulation.running_tasks("wk-000001").len(), 3);
     let leader = simulation.leader().expect("a leader");
     simulation.crash_node(leader);
-    let cancelled = simulation.cancel(another_node(leader), "wk-000001").expect("a response");
+    let cancelled = simulation.cancel(next_node(leader), "wk-000001").expect("a response");
     assert_eq!(cancelled.1.map(|v| v.state), Some(JobStatus::Cancelled));
     simulation.run(secs(12));
     assert!(simulation.running_tasks("wk-000001").is_empty());
@@ -41,7 +41,7 @@
     assert!(simulation.leader().is_some_and(|new_leader| new_leader != leader));
     assert_eq!(simulation.running_tasks("wk-000001"), placements_before);
     simulation.run(secs(10));
-    assert_eq!(simulation.job_state(another_node(leader), "wk-000002"), Some(JobStatus::Done));
+    assert_eq!(simulation.job_state(next_node(leader), "wk-000002"), Some(JobStatus::Done));
     assert_eq!(simulation.started_tasks, 14);
 }
 
@@ -209,7 +209,7 @@
     simulation.cloud.outage = true;
     simulation.partitioned_machines.insert("n-000000".into());
     simulation.crash_node(leader);
-    simulation.submit(another_node(leader), job(2, 40));
+    simulation.submit(next_node(leader), job(2, 40));
     simulation.run(secs(60));
     assert_eq!(simulation.running_tasks("wk-000001").len(), 60);
 }
@@ -248,7 +248,7 @@
     for (_, machine) in simulation.running_tasks("wk-000001") {
         simulation
             .partitioned_links
-            .extend([(another_node(old_leader), machine.clone()), ((old_leader + 2) % 3, machine)]);
+            .extend([(next_node(old_leader), machine.clone()), ((old_leader + 2) % 3, machine)]);
     }
     simulation.run(secs(5));
     let new_leader = simulation.leader().expect("a new leader");
@@ -281,7 +281,7 @@
         simulation.run(Duration::from_millis(300));
         simulation.crash_node(leader);
         simulation.run(Duration::from_millis(delay));
-        let next = another_node(leader);
+        let next = next_node(leader);
         simulation.crash_node(next);
         simulation.start_node(leader);
         simulation.run(Duration::from_millis(200));
--- a/crates/core/tests/upgrade.rs
+++ b/crates/core/tests/upgrade.rs
@@ -40,7 +40,7 @@
     }
 
     /// Returns a world with these records, whose machines run the tasks that the records place on them.
-    fn to_world(&self) -> Simulation {
+    fn to_simulation(&self) -> Simulation {
         let mut simulation = Simulation::new(8);
         for (key, (value, version)) in self.rows().into_iter().filter(|(key, _)| key != "lead") {
             simulation.store.revision = simulation.store.revision.max(version);
@@ -98,7 +98,7 @@
 
 #[test]
 fn records_written_before_dependencies_existed_are_recovered() {
-    let mut simulation = Fixture::before_dependencies().to_world();
+    let mut simulation = Fixture::before_dependencies().to_simulation();
     simulation.run(secs(8));
     let started_before = simulation.started_tasks;
     assert!(started_before >= 10, "its tasks do not run");
@@ -118,7 +118,7 @@
 fn records_of_the_first_version_with_dependencies_are_recovered() {
     // Job 3, whose dependency is done, runs; 4 depends on 3, and 9 on 4. Job 5 was cancelled while there was no
     // leader, so jobs 6 and 8 are still open in their records.
-    let mut simulation = Fixture::with_dependencies().to_world();
+    let mut simulation = Fixture::with_dependencies().to_simulation();
     simulation.run(secs(7));
     assert_eq!(simulation.running_tasks(&job_id(3)).len(), 4, "job 3 was stopped");
     assert_eq!(simulation.running_tasks(&job_id(1)).len(), 3);
