--- a/crates/core/tests/balance/bursts.rs
+++ b/crates/core/tests/balance/bursts.rs
@@ -74,7 +74,7 @@
 #[test]
 fn rebalancing_stays_within_the_quota_limits_of_teams() {
     // A stopped task counts towards the quota until it is confirmed gone, so a move needs no quota besides the
-    // task's own. The simulated world checks that no team ever exceeds its limit.
+    // task's own. The simulation checks that no team ever exceeds its limit.
     let team = || Team { cpus: 16.0, cpus_max: 31.0, gpus: 0.0, gpus_max: 0.0 };
     let teams = BTreeMap::from([("red".into(), team()), ("blue".into(), team())]);
     let mut simulation = Simulation::with_facts(Facts { teams, ..deployment_facts() }, 4, rebalancing_policy(), &ZONES);
@@ -205,7 +205,7 @@
     simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 300.0);
     simulation.cloud.capacity = 4;
     simulation.run(secs(6));
-    // All of them save checkpoints, so that only their kind prevents moves.
+    // All of these jobs save checkpoints, so that only their kind, priority or class prevents moves.
     let checkpointing = |spec: JobSpec| JobSpec { checkpoint_interval_s: 10.0, save_s: 0.5, spot: false, ..spec };
     let unmovable_jobs = [
         checkpointing(JobSpec { estimate_s: 300.0, ..service(1, 8) }),
--- a/crates/core/tests/balance/failures.rs
+++ b/crates/core/tests/balance/failures.rs
@@ -39,9 +39,9 @@
         let next = simulation.leader().expect("another leader");
         assert_ne!(next, leader);
         if old_version_between {
-            let stale = open_moves(&simulation);
+            let records_before = open_moves(&simulation);
             history.run(&mut simulation, &[1, 2, 3], secs(10));
-            assert_eq!(open_moves(&simulation), stale, "the old version changed the records of moves");
+            assert_eq!(open_moves(&simulation), records_before, "the old version changed the records of moves");
             // All nodes that start from now on support moves again; the leader with the old version crashes last.
             simulation.policy_overrides.clear();
             simulation.start_node(leader);
@@ -81,16 +81,16 @@
 #[test]
 fn destinations_fail_or_become_unreachable_in_each_state_of_a_move() {
     for delay_ms in [0, 200, 500, 900, 1500] {
-        for fault in ["dies", "notice", "hangs", "deaf", "is partitioned"] {
+        for fault in ["dies", "gets a notice", "freezes", "loses inbound messages", "is partitioned"] {
             let (mut simulation, mut history, _, destinations) = fleet_with_open_moves(rebalancing_policy());
             history.run(&mut simulation, &[1, 2, 3], millis(delay_ms));
             let now = simulation.now;
             for machine in &destinations {
                 match fault {
                     "dies" => drop(simulation.workers.remove(machine)),
-                    "notice" => simulation.workers.get_mut(machine).expect("up").notice_s = Some(20.0),
-                    "hangs" => drop(simulation.frozen_until.insert(machine.clone(), now + secs(9))),
-                    "deaf" => drop(simulation.lost_inbound.insert(machine.clone())),
+                    "gets a notice" => simulation.workers.get_mut(machine).expect("up").notice_s = Some(20.0),
+                    "freezes" => drop(simulation.frozen_until.insert(machine.clone(), now + secs(9))),
+                    "loses inbound messages" => drop(simulation.lost_inbound.insert(machine.clone())),
                     _ => drop(simulation.partitioned_machines.insert(machine.clone())),
                 }
             }
@@ -130,14 +130,18 @@
         let mut simulation = skewed_fleet(12, 24, rebalancing_policy());
         let mut history = TaskHistory::default();
         history.run(&mut simulation, &[1, 2, 3], millis(200));
-        let open = run_until_moves_open(&mut simulation, 4);
-        let lost_machines: Vec<String> =
-            simulation.workers.values().filter(|w| w.zone == zone).map(|w| w.name.clone()).collect();
+        let open_count = run_until_moves_open(&mut simulation, 4);
+        let lost_machines: Vec<String> = simulation
+            .workers
+            .values()
+            .filter(|worker| worker.zone == zone)
+            .map(|worker| worker.name.clone())
+            .collect();
         let affected = open_moves(&simulation)
             .iter()
             .filter(|(_, _, source, destination)| lost_machines.contains(source) || lost_machines.contains(destination))
             .count();
-        assert!(affected * 10 >= open, "only {affected} of {open} moves are affected");
+        assert!(affected * 10 >= open_count, "only {affected} of {open_count} moves are affected");
         simulation.partitioned_machines.extend(lost_machines);
         // Once the machines are found unresponsive, no move starts until their state is known.
         history.run(&mut simulation, &[1, 2, 3], secs(7));
@@ -255,7 +259,8 @@
     let mut history = TaskHistory::default();
     run_until_moves_open(&mut simulation, 2);
     // Half of the spot machines are reclaimed without notice, the others with notice.
-    let spot: Vec<String> = simulation.workers.values().filter(|w| w.spot).map(|w| w.name.clone()).collect();
+    let spot: Vec<String> =
+        simulation.workers.values().filter(|worker| worker.spot).map(|worker| worker.name.clone()).collect();
     for (n, name) in spot.iter().enumerate() {
         if n % 2 == 0 {
             simulation.workers.remove(name);
@@ -285,7 +290,7 @@
         assert!(!any_move_recorded(&simulation), "a move is already recorded");
         let idle: Vec<String> = tasks_per_machine(&simulation, &[1, 2, 3])
             .into_iter()
-            .filter(|(_, n)| *n == 0)
+            .filter(|(_, tasks)| *tasks == 0)
             .map(|(name, _)| name)
             .collect();
         assert_eq!(idle.len(), 8);
--- a/crates/core/tests/balance/main.rs
+++ b/crates/core/tests/balance/main.rs
@@ -1,4 +1,4 @@
-//! Scenario tests of rebalancing. The simulated world checks the invariants that users rely on at every step.
+//! Scenario tests of rebalancing. The simulation checks the invariants that users rely on at every step.
 
 mod bursts;
 mod failures;
--- a/crates/core/tests/balance/support.rs
+++ b/crates/core/tests/balance/support.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// Returns a deployment with three nodes and two teams.
+/// Returns the facts of a deployment with three nodes and two teams.
 pub fn deployment_facts() -> Facts {
     let team = || Team { cpus: 100.0, cpus_max: 400.0, gpus: 0.0, gpus_max: 0.0 };
     Facts { teams: BTreeMap::from([("red".into(), team()), ("blue".into(), team())]), ..facts(0, 3) }
@@ -40,7 +40,7 @@
 }
 
 impl TaskHistory {
-    /// Runs the world and records the machines of these jobs' tasks; asserts that no machine is overcommitted.
+    /// Runs the simulation and records the machines of these jobs' tasks; asserts that no machine is overcommitted.
     pub fn run(&mut self, simulation: &mut Simulation, jobs: &[u32], time: Duration) {
         let end = simulation.now + time;
         while simulation.now < end {
@@ -76,12 +76,12 @@
 /// Returns Jain's fairness index of the machines' loads.
 pub fn fairness_index(simulation: &Simulation, jobs: &[u32]) -> f64 {
     let loads: Vec<f64> = tasks_per_machine(simulation, jobs).into_values().map(|n| n as f64).collect();
-    let (sum, squares) = loads.iter().fold((0.0, 0.0), |(s, q), n| (s + n, q + n * n));
+    let (sum, squares) = loads.iter().fold((0.0, 0.0), |(sum, squares), load| (sum + load, squares + load * load));
     sum * sum / (loads.len() as f64 * squares)
 }
 
-/// Returns a world with `full` machines that are filled by two jobs and a service, and `idle` machines that came up
-/// afterwards.
+/// Returns a simulation with `full` machines that are filled by two jobs and a service, and `idle` machines that came
+/// up afterwards.
 pub fn skewed_fleet(full: usize, idle: usize, policy: Policy) -> Simulation {
     let mut simulation = Simulation::with_facts(deployment_facts(), full, policy, &ZONES);
     simulation.task_duration_s = 300.0;
@@ -110,7 +110,7 @@
     simulation
 }
 
-/// Runs until at least `least` moves are recorded as open, and returns their number.
+/// Runs until at least `min_moves` moves are recorded as open, and returns the number of open moves.
 pub fn run_until_moves_open(simulation: &mut Simulation, min_moves: usize) -> usize {
     for _ in 0..600 {
         simulation.run(millis(20));
@@ -143,7 +143,8 @@
         == simulation.specs[&job].tasks
 }
 
-/// Ends all faults, and asserts that every task of the unfinished jobs runs, apart from moves under way for up to 10 s.
+/// Ends all faults, and asserts that every task of the unfinished jobs 1 to 3 runs. A task that is being moved may take
+/// up to 10 s to run again.
 pub fn check_recovery(simulation: &mut Simulation, history: &mut TaskHistory) {
     simulation.clear_faults();
     history.run(simulation, &[1, 2, 3], secs(60));
@@ -159,8 +160,8 @@
     simulation.check_recovered();
 }
 
-/// Returns a skewed world in which moves are under way, with tasks that take a while to save, and the sources and
-/// destinations of the moves.
+/// Returns a [`skewed_fleet`] in which moves are open, with tasks that take a while to save; the history of its tasks;
+/// and the sources and destinations of the moves.
 pub fn fleet_with_open_moves(policy: Policy) -> (Simulation, TaskHistory, BTreeSet<String>, BTreeSet<String>) {
     let mut simulation = skewed_fleet(4, 8, policy);
     let mut history = TaskHistory::default();
--- a/crates/core/tests/cancellations.rs
+++ b/crates/core/tests/cancellations.rs
@@ -1,12 +1,13 @@
-//! Cancellations that coincide with another fault. Tasks must be gone within `cancel_s` of the
-//! confirmation to the user; the simulated world checks this and all other rules at every step.
+//! Scenario tests of cancellations that coincide with another fault. Tasks must have stopped within
+//! `cancel_s` of the confirmation to the user; the simulation checks this and all other invariants
+//! at every step.
 
 use std::time::Duration;
 
 use rushyoke_testkit::{Simulation, job, secs, service};
 use rushyoke_wire::job::JobStatus;
 
-/// Returns a world in which a service of four replicas runs, and the current leader.
+/// Returns a simulation in which a service of four replicas runs, and the current leader.
 fn running_service(machines: usize) -> (Simulation, usize) {
     let mut simulation = Simulation::new(machines);
     simulation.run(secs(6));
@@ -17,15 +18,15 @@
     (simulation, leader)
 }
 
-/// Faults in which a leader keeps renewing its lease without learning what users cancel.
+/// A fault during which a leader keeps renewing its lease without learning what users cancel.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum LeaderFault {
-    /// Its watch hangs, while its other calls succeed.
+    /// The leader's watch hangs, while its other calls to the state service succeed.
     WatchHangs,
-    /// The state service refuses only this leader for a moment, and its watch is not open again
-    /// before the outage.
+    /// The state service refuses only this leader for a moment, and the leader's watch is not open
+    /// again before the outage.
     StoreRefuses,
-    /// In addition, it cannot reach the other controllers.
+    /// As [`LeaderFault::StoreRefuses`], and the leader cannot reach the other controllers.
     Isolated,
 }
 
--- a/crates/core/tests/combined_faults.rs
+++ b/crates/core/tests/combined_faults.rs
@@ -1,13 +1,13 @@
-//! Combinations of two faults. Each scenario injects them, asserts that they occurred, and ends
-//! with the checks for a recovered deployment; the simulated world checks the rules for users at
-//! every step.
+//! Scenario tests of combinations of two faults. Each scenario injects them, asserts that they
+//! occurred, and ends with the checks for a recovered deployment; the simulation checks the
+//! invariants that users rely on at every step.
 
 use rushyoke_core::Policy;
 use rushyoke_testkit::{Simulation, job, millis, secs, service};
 use rushyoke_wire::job::{JobSpec, JobStatus, Kind};
 use std::collections::BTreeSet;
 
-/// Returns a world in which services 1 and 2 of four replicas each and array 3 of eight long tasks
+/// Returns a simulation in which services 1 and 2 of four replicas each and array 3 of eight long tasks
 /// run on machines of two zones, and the current leader.
 fn running_jobs(machines: usize) -> (Simulation, usize) {
     let mut simulation = Simulation::with_policy(machines, Policy::default(), &["a", "b"]);
@@ -26,10 +26,12 @@
     (simulation, leader)
 }
 
+/// Returns the node after the given one, in cyclic order.
 fn next_node(node: usize) -> usize {
     (node + 1) % 3
 }
 
+/// Cancels a job at a node, and retries until the node confirms it.
 fn cancel_until_confirmed(simulation: &mut Simulation, node: usize, id: &str) {
     for _ in 0..60 {
         let state = simulation.cancel(node, id).and_then(|(_, view)| view).map(|view| view.state);
@@ -41,6 +43,7 @@
     panic!("{id} cannot be cancelled at node {node}");
 }
 
+/// Returns the machines on which tasks of a job run.
 fn hosts(simulation: &Simulation, id: &str) -> BTreeSet<String> {
     simulation.running_tasks(id).into_iter().map(|(_, machine)| machine).collect()
 }
@@ -64,7 +67,7 @@
 
 #[test]
 fn jobs_cancelled_during_a_takeover_stop() {
-    // Cancelled before, while and after the leader's lease expires, at both of the remaining nodes.
+    // The jobs are cancelled at the two remaining nodes, before, while and after the leader's lease expires.
     for delay_ms in [0, 400, 900, 1500, 2100, 2300, 2600, 3500] {
         let (mut simulation, leader) = running_jobs(4);
         let terms = simulation.terms.len();
@@ -136,7 +139,7 @@
     simulation.run(secs(3));
     // The tasks of a job end at slightly different times; one of each job ends long before the others.
     for worker in simulation.workers.values_mut() {
-        for task in worker.tasks.iter_mut().filter(|t| t.name.ends_with("/0") && t.name > "wk-000003".into()) {
+        for task in worker.tasks.iter_mut().filter(|task| task.name.ends_with("/0") && task.name > "wk-000003".into()) {
             task.state_ends_at = simulation.now + secs(1);
         }
     }
@@ -159,9 +162,9 @@
 
 #[test]
 fn team_at_its_limit_waits_for_cancelled_tasks_on_unresponsive_machines() {
-    // The team uses 64 of its 64 CPUs. What a cancelled job may still use counts until it is proven
-    // to be gone, for the leader that cancelled and for the next one.
-    for fault in ["partitioned", "hung", "unreachable"] {
+    // The team uses 64 of its 64 CPUs. CPUs that a cancelled job may still use count until its tasks
+    // are confirmed gone, for the leader that cancelled the job and for the next one.
+    for fault in ["partitioned", "frozen", "inbound messages lost"] {
         for takeover in [false, true] {
             let mut simulation =
                 Simulation::with_policy(6, Policy { idle_timeout: secs(300), ..Policy::default() }, &["a"]);
@@ -176,7 +179,7 @@
             for machine in unresponsive {
                 match fault {
                     "partitioned" => drop(simulation.partitioned_machines.insert(machine)),
-                    "hung" => drop(simulation.frozen_until.insert(machine, simulation.now + secs(11))),
+                    "frozen" => drop(simulation.frozen_until.insert(machine, simulation.now + secs(11))),
                     _ => drop(simulation.lost_inbound.insert(machine)),
                 }
             }
--- a/crates/core/tests/dependencies.rs
+++ b/crates/core/tests/dependencies.rs
@@ -1,7 +1,7 @@
-//! Jobs with dependencies during faults. In every scenario the simulated world checks that no task
-//! starts before all dependencies of its job are done (`too_early`), and that no job is reported as
-//! queued or running for longer than `cancel_s` after a job that it depends on, directly or through
-//! others, was cancelled (`orphaned`).
+//! Scenario tests of jobs with dependencies during faults. In every scenario the simulation checks
+//! that no task starts before all dependencies of its job are done, and that no job is reported as
+//! queued or running for longer than `cancel_s` after a direct or indirect dependency of it was
+//! cancelled.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,6 +16,7 @@
 const CHAIN: JobGraph = &[(1, 3, &[]), (2, 2, &[1]), (3, 2, &[2]), (4, 1, &[3])];
 const DIAMOND: JobGraph = &[(1, 3, &[]), (2, 2, &[1]), (3, 4, &[1]), (4, 2, &[2, 3])];
 
+/// Submits the jobs of a graph, each at the next node.
 fn submit_graph(simulation: &mut Simulation, graph: JobGraph) {
     for (index, (number, tasks, dependencies)) in graph.iter().enumerate() {
         assert_eq!(simulation.submit(index % 3, dependent_job(*number, *tasks, dependencies)), Some(201));
@@ -27,6 +28,7 @@
     simulation.store.rows.get(&format!("job/{}", job_id(number))).is_some_and(|row| row.0["state"] == "done")
 }
 
+/// Runs until the condition holds; panics after `timeout`.
 fn run_until(simulation: &mut Simulation, timeout: Duration, mut condition: impl FnMut(&Simulation) -> bool) {
     let deadline = simulation.now + timeout;
     while !condition(simulation) {
@@ -73,7 +75,7 @@
             }
             simulation.run(secs(3));
             let recorded = is_recorded_done(&simulation, 1);
-            assert_eq!(recorded, !late, "the transaction must be applied at once, unless it is held back");
+            assert_eq!(recorded, !late, "the transaction must be applied at once, unless it is delayed");
             assert!(none_running(&simulation, 2..=3), "a dependent started before the end was known to be durable");
             simulation.run(secs(2));
             simulation.clear_faults();
@@ -159,12 +161,12 @@
     assert!(outcomes.len() >= 3, "the cancellation must win in some runs and lose in others: {outcomes:?}");
 }
 
-/// Facts of a deployment whose state service accepts smaller values and transactions.
+/// Returns the facts of a deployment whose state service accepts smaller values and transactions.
 fn lower_limits() -> Facts {
     Facts { value_bytes: 2048, txn_ops: 5, ..facts(0, 3) }
 }
 
-/// Returns a world with large values in the state service, whose nodes do not know the coming limits.
+/// Returns a fleet whose jobs have large values in the state service, and whose nodes do not have the lower limits yet.
 fn fleet_with_large_values() -> Simulation {
     let mut simulation = Simulation::with_elected_leader(6);
     simulation.steps_per_check = 3;
@@ -179,15 +181,15 @@
     simulation
 }
 
-/// A wide array of another team, whose placements fill much of a value.
+/// Returns a wide array of another team, whose placements fill much of a value.
 fn wide_array(number: u32) -> JobSpec {
     JobSpec { team: "blue".into(), cpus: 0.02, memory_gb: 0.1, ..dependent_job(number, 200, &[]) }
 }
 
-/// Returns the length of the largest value that is kept for unfinished jobs.
+/// Returns the length in bytes of the largest value that is kept for unfinished jobs.
 fn largest_value_len(simulation: &Simulation) -> Option<usize> {
-    let kept = |key: &str| ["log/", "task/", "live/"].into_iter().any(|prefix| key.starts_with(prefix));
-    let rows = simulation.store.rows.iter().filter(|(key, _)| kept(key));
+    let is_of_unfinished_job = |key: &str| ["log/", "task/", "live/"].into_iter().any(|prefix| key.starts_with(prefix));
+    let rows = simulation.store.rows.iter().filter(|(key, _)| is_of_unfinished_job(key));
     rows.map(|(_, row)| row.0.to_string().len()).max()
 }
 
@@ -224,7 +226,7 @@
         assert_eq!(simulation.job_states(leader, 8..=8), all_in_state(JobStatus::Done, 1));
         assert_eq!(simulation.job_states(leader, 1..=4), all_in_state(JobStatus::Done, 4), "{delay_ms} ms");
         assert_eq!(simulation.running_tasks(&job_id(90)).len(), 14);
-        // Large values are never rewritten as they are, and are deleted with the jobs that they name.
+        // Large values are never written again unchanged, and are deleted once the jobs that they name have ended.
         assert!(simulation.cancel(leader, &job_id(90)).is_some());
         simulation.run(secs(8));
         assert_eq!(simulation.submit(leader, dependent_job(7, 1, &[])), Some(201));
@@ -445,7 +447,7 @@
     }
 }
 
-/// Returns a world with a full fleet, jobs 3 to 5 of normal priority in the queue, and job 8 of the
+/// Returns a simulation with a full fleet, jobs 3 to 5 of normal priority in the queue, and job 8 of the
 /// lowest priority, on which job 10 depends.
 fn full_fleet_with_queue() -> Simulation {
     let (mut simulation, _) = Simulation::with_short_tasks();
--- a/crates/core/tests/esplash.rs
+++ b/crates/core/tests/esplash.rs
@@ -1,4 +1,4 @@
-//! The steps of eSplash, checked against results computed by hand.
+//! Tests of the steps of eSplash against results computed by hand, and a scenario test of a slow machine.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,6 +11,7 @@
 use rushyoke_testkit::{Simulation, job};
 use rushyoke_wire::job::JobStatus;
 
+/// Returns a machine's performance: the run time in seconds of each type of task.
 fn performance(times: &[(&str, f64)]) -> Performance {
     times.iter().map(|(kind, s)| ((*kind).into(), *s)).collect::<BTreeMap<_, _>>()
 }
@@ -92,7 +93,8 @@
     assert_eq!(expected_gain_s(1, 50.0, &level_stats), 17.5);
     assert!(expected_gain_s(1, 20.0, &level_stats) < 0.0);
     assert_eq!(expected_gain_s(0, 50.0, &[]), 0.0);
-    // Below the mean run time, its rest remains; above it, the time by which the task exceeds it.
+    // A task that has run for less than the mean run time has the rest of it left; a task that has run for longer
+    // has as much time left as it has exceeded the mean.
     assert_eq!((remaining_s(40.0, 30.0), remaining_s(40.0, 100.0)), (10.0, 60.0));
 }
 
--- a/crates/core/tests/failover/evacuation.rs
+++ b/crates/core/tests/failover/evacuation.rs
@@ -69,17 +69,17 @@
     check_recovery(&mut simulation);
 }
 
-/// Returns the number of starts of a later tier while tasks of an earlier tier waited; every task here fits on any
-/// machine. `lost_tasks` is the number of tasks that each job lost with the zone. No task waits before the leases
-/// expire, at `leases_expire`.
+/// Returns the number of tasks of a later tier that were started while tasks of an earlier tier waited; every task here
+/// fits on any machine. `lost_tasks` is the number of tasks that each job lost with the zone. No task waits before the
+/// leases expire, at `leases_expire`.
 fn inversions(log: &StartLog, tier_order: &[u32], lost_tasks: &BTreeMap<u32, usize>, leases_expire: Duration) -> usize {
     let mut inversions_found = 0;
-    for (n, earlier) in
+    for (index, earlier) in
         tier_order.iter().enumerate().filter(|(_, id)| lost_tasks.get(id).is_some_and(|tasks| *tasks > 0))
     {
         let recovered = log.count_of(*earlier) >= lost_tasks[earlier];
         let waited_until = log.time_span_of(*earlier).map(|(_, last)| last).filter(|_| recovered);
-        for later in &tier_order[n + 1..] {
+        for later in &tier_order[index + 1..] {
             let prefix = format!("{}/", job_id(*later));
             let started = log.starts.iter().filter(|(_, task, _)| task.starts_with(&prefix));
             let started = started.filter(|(at, ..)| *at >= leases_expire);
@@ -109,8 +109,9 @@
         simulation.run(secs(10));
         let zone = zone_without_leader(&simulation);
         let zone_machines = machines_in(&simulation, ZONES[zone]);
-        let tasks_in_zone =
-            |id: u32| simulation.running_tasks(&job_id(id)).iter().filter(|(_, m)| zone_machines.contains(m)).count();
+        let tasks_in_zone = |id: u32| {
+            simulation.running_tasks(&job_id(id)).iter().filter(|(_, machine)| zone_machines.contains(machine)).count()
+        };
         let lost_tasks: BTreeMap<u32, usize> = tier_order.iter().map(|id| (*id, tasks_in_zone(*id))).collect();
         partition_zone(&mut simulation, zone);
         // Leases last 12 s, and were renewed at most 2 s before the partition.
@@ -155,7 +156,7 @@
     simulation.run(secs(6));
     partition_zone(&mut simulation, zone);
     let leader = simulation.leader().expect("a leader");
-    // So many zone-bound jobs that they alone would use up a scheduling pass.
+    // There are so many zone-bound jobs that they alone would use up a scheduling pass.
     for id in 100..180 {
         let spec = JobSpec { zone: Some(ZONES[zone].into()), cpus: 0.5, ..long_job(id, 1, Priority::High) };
         assert_eq!(simulation.submit(leader, spec), Some(201));
@@ -184,9 +185,9 @@
         simulation.run(secs(partition_s));
         let machines_during = simulation.cloud.machines.len();
         assert!(machines_during > machines_before || !rentals_expected, "no machines were rented in {partition_s} s");
-        let elsewhere =
+        let all_rented_elsewhere =
             simulation.cloud.machines.iter().skip(machines_before).all(|(_, rented)| rented.zone != ZONES[zone]);
-        assert!(elsewhere, "machines were rented in the lost zone");
+        assert!(all_rented_elsewhere, "machines were rented in the lost zone");
         end_partitions(&mut simulation);
         simulation.run(secs(12));
         assert!(simulation.cloud.machines.len() <= machines_during, "machines were rented after the zone returned");
@@ -260,9 +261,9 @@
     // Each task may be rerun once before its limit is reached; after that it runs again only once its own machine
     // confirms that it has ended.
     assert_eq!(running_tasks_of(&simulation, 3), 60);
-    let counted = simulation.store.rows.iter().filter(|(key, _)| key.starts_with("log/") || key.starts_with("task/"));
-    let counted = counted.filter(|(_, row)| row.0.to_string().contains("zone_reruns")).count();
-    assert!(counted > 0, "no rerun count is recorded");
+    let records = simulation.store.rows.iter().filter(|(key, _)| key.starts_with("log/") || key.starts_with("task/"));
+    let records_with_reruns = records.filter(|(_, row)| row.0.to_string().contains("zone_reruns")).count();
+    assert!(records_with_reruns > 0, "no rerun count is recorded");
     check_recovery(&mut simulation);
 }
 
@@ -284,7 +285,7 @@
         simulation.cancel(leader, &job_id(3)).and_then(|(_, view)| view).map(|view| view.state),
         Some(JobStatus::Cancelled)
     );
-    // Shorter than the time until a lease expires.
+    // The partition ends before a lease expires.
     simulation.run(millis(2500));
     end_partitions(&mut simulation);
     simulation.run(secs(12));
--- a/crates/core/tests/failover/leaders.rs
+++ b/crates/core/tests/failover/leaders.rs
@@ -86,11 +86,11 @@
 fn a_leader_that_reaches_only_its_own_zone_and_the_store_steps_down() {
     let mut simulation = busy_fleet(24, failover_on());
     let zone = simulation.leader().expect("a leader");
-    let inside = machines_in(&simulation, ZONES[zone]);
+    let zone_machines = machines_in(&simulation, ZONES[zone]);
     let machines: Vec<String> = simulation.workers.keys().cloned().collect();
     simulation.partitioned_from_peers.insert(zone);
     for machine in &machines {
-        let links = (0..3).filter(|node| inside.contains(machine) != (*node == zone));
+        let links = (0..3).filter(|node| zone_machines.contains(machine) != (*node == zone));
         simulation.partitioned_links.extend(links.map(|node| (node, machine.clone())));
     }
     simulation.run(secs(12));
@@ -99,7 +99,7 @@
         "the partitioned leader did not step down"
     );
     simulation.run(secs(10));
-    let outside = simulation.workers.values().filter(|worker| !inside.contains(&worker.name));
+    let outside = simulation.workers.values().filter(|worker| !zone_machines.contains(&worker.name));
     assert!(
         outside.clone().count() == 16 && outside.clone().all(|worker| worker.session == 1),
         "a lease expired outside the zone"
@@ -114,9 +114,9 @@
     // The zone's workers reach only its controller, which relays their reports and the responses.
     let mut simulation = busy_fleet(24, failover_on());
     let zone = zone_without_leader(&simulation);
-    let inside = machines_in(&simulation, ZONES[zone]);
+    let zone_machines = machines_in(&simulation, ZONES[zone]);
     simulation.partitioned_from_store.insert(zone);
-    for machine in &inside {
+    for machine in &zone_machines {
         simulation.partitioned_links.extend((0..3).filter(|node| *node != zone).map(|node| (node, machine.clone())));
         let worker = simulation.workers.get_mut(machine).expect("up");
         (worker.node, worker.pending_report) = (zone, None);
@@ -125,7 +125,7 @@
     simulation.run(secs(30));
     assert_ne!(zone_state(&simulation, zone), "lost");
     assert_eq!(total_running_tasks(&simulation), running_before);
-    assert!(inside.iter().all(|machine| simulation.workers[machine].session == 1), "a lease expired");
+    assert!(zone_machines.iter().all(|machine| simulation.workers[machine].session == 1), "a lease expired");
     simulation.partitioned_links.clear();
     end_partitions(&mut simulation);
     check_recovery(&mut simulation);
@@ -170,7 +170,7 @@
         let new_leader = simulation.leader().expect("a leader outside the zone");
         let response = simulation.cancel(new_leader, &job_id(1)).and_then(|(_, view)| view).map(|view| view.state);
         assert_eq!(response, Some(JobStatus::Cancelled));
-        // The simulated world checks that all tasks stop in time.
+        // The simulation checks that all tasks stop in time.
         simulation.run(secs(31));
         assert_eq!(running_tasks_of(&simulation, 1), 0, "at {delay_ms} ms");
         end_partitions(&mut simulation);
--- a/crates/core/tests/failover/main.rs
+++ b/crates/core/tests/failover/main.rs
@@ -1,5 +1,5 @@
-//! Scenario tests of zones that are lost and return. The simulated world checks the invariants that users rely on at
-//! every step.
+//! Scenario tests of zones that are lost and return. The simulation checks the invariants that users rely on at every
+//! step.
 
 mod evacuation;
 mod leaders;
--- a/crates/core/tests/failover/returns.rs
+++ b/crates/core/tests/failover/returns.rs
@@ -10,7 +10,7 @@
 
 #[test]
 fn a_zone_returns_just_before_at_and_after_the_expiry_of_its_leases() {
-    // Leases last 12 s: when the zone returns, reruns are not placed yet, are being placed, or already run.
+    // Leases last 12 s: when the zone returns, the reruns of its tasks are not placed yet, are being placed, or run.
     for partition_ms in [5_000, 11_000, 12_000, 12_600, 13_200, 14_000, 16_000] {
         let mut simulation = busy_fleet(12, failover_on());
         let zone = zone_without_leader(&simulation);
@@ -26,7 +26,7 @@
             log.max_machines_per_task(&[1, 2, 3, 4]) <= 1,
             "partitioned for {partition_ms} ms: started twice since the return"
         );
-        // A worker sends its next report 5 s after one that was lost.
+        // After a lost report, a worker sends the next one 5 s later.
         if partition_ms < 6_000 {
             assert_eq!(simulation.started_tasks, before, "a partition shorter than a lease caused restarts");
         }
@@ -81,10 +81,10 @@
 #[test]
 fn a_returned_zone_is_refilled_gradually_and_more_slowly_after_repeated_losses() {
     let seconds_until_full =
-        |starts_per_second: &[usize]| starts_per_second.iter().rposition(|n| *n > 0).expect("it is refilled");
+        |starts_per_second: &[usize]| starts_per_second.iter().rposition(|n| *n > 0).expect("the zone is refilled");
     let slow_ramp = FailoverSettings { ramp_share: 0.05, ..FailoverSettings::default() };
     let after_one_loss = starts_per_second_after_return(slow_ramp.clone(), 1);
-    let first_start = after_one_loss.iter().position(|n| *n > 0).expect("it is refilled");
+    let first_start = after_one_loss.iter().position(|n| *n > 0).expect("the zone is refilled");
     // The zone has 128 CPUs; a twentieth of them is filled in the first second, and the rate doubles every second.
     assert!(
         after_one_loss[first_start] <= 20 && after_one_loss[first_start..first_start + 3].iter().sum::<usize>() <= 70,
@@ -113,7 +113,7 @@
         simulation.lost_inbound.extend(zone_machines.iter().cloned());
         run_until_zone_state(&mut simulation, zone, "lost", secs(10));
         simulation.run(secs(14));
-        assert_eq!(total_running_tasks(&simulation), running_before, "reports held: {reports_delayed}");
+        assert_eq!(total_running_tasks(&simulation), running_before, "reports delayed: {reports_delayed}");
         simulation.lost_inbound.clear();
         simulation.delayed_reports_until.clear();
         simulation.run(secs(40));
@@ -166,7 +166,7 @@
 #[test]
 fn a_retiring_machine_in_a_lost_zone_gets_no_tasks_that_fit_elsewhere() {
     let mut simulation = fleet(12, failover_on());
-    // A service that fits on one machine; the others are more than enough.
+    // The service fits on one machine; the others exceed what is needed, so some of them retire.
     assert_eq!(simulation.submit(0, service(1, 6)), Some(201));
     simulation.run(secs(8));
     let zone = zone_without_leader(&simulation);
@@ -203,7 +203,7 @@
     assert_eq!(simulation.submit(leader, service(1, 40)), Some(201));
     simulation.run(secs(4));
     let tasks_in_zone = |simulation: &Simulation, id| {
-        simulation.running_tasks(&job_id(id)).iter().filter(|(_, m)| zone_machines.contains(m)).count()
+        simulation.running_tasks(&job_id(id)).iter().filter(|(_, machine)| zone_machines.contains(machine)).count()
     };
     assert_eq!((running_tasks_of(&simulation, 1), tasks_in_zone(&simulation, 1)), (40, 0));
     // The next service fits only with the resources of that zone.
--- a/crates/core/tests/failover/support.rs
+++ b/crates/core/tests/failover/support.rs
@@ -29,7 +29,7 @@
     Policy { failover: None, ..failover_on() }
 }
 
-/// Returns a deployment with two teams and one node in each zone.
+/// Returns the facts of a deployment with two teams and one node in each zone.
 pub fn deployment_facts() -> Facts {
     let team = || Team { cpus: 400.0, cpus_max: 800.0, gpus: 0.0, gpus_max: 0.0 };
     let controller_zones = (0..3).map(|node| (format!("node-{node}"), ZONES[node].to_owned())).collect();
@@ -46,8 +46,8 @@
     JobSpec { priority, spot: false, estimate_s: 300.0, ..job(id, tasks) }
 }
 
-/// Returns a world with machines in three zones, a third in each, on which tasks run for 300 s. The cloud has no more
-/// machines.
+/// Returns a simulation with machines in three zones, a third in each, on which tasks run for 300 s. The cloud has no
+/// more machines.
 pub fn fleet(machines: usize, policy: Policy) -> Simulation {
     fleet_of_deployment(deployment_facts(), machines, policy)
 }
@@ -166,7 +166,7 @@
 }
 
 impl StartLog {
-    /// Runs the world, and records the starts of tasks of all jobs.
+    /// Runs the simulation, and records the starts of tasks of all jobs.
     pub fn run(&mut self, simulation: &mut Simulation, time: Duration) {
         let end = simulation.now + time;
         while simulation.now < end {
@@ -215,7 +215,7 @@
     log
 }
 
-/// Ends all faults, and asserts that all tasks of unfinished jobs run or have finished, and that no others run.
+/// Ends all faults, and asserts that all tasks of unfinished jobs run or have finished, and that no other tasks run.
 pub fn check_recovery(simulation: &mut Simulation) {
     simulation.clear_faults();
     simulation.run(secs(30));
--- a/crates/core/tests/fleet.rs
+++ b/crates/core/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Scenarios with fleets of tens to thousands of machines, on the same fakes.
+//! Scenario tests of fleets of tens to thousands of machines.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -20,20 +20,20 @@
 
 #[test]
 fn whole_fleet_is_rented_within_seconds() {
-    // Guards against renting too slowly: at this size only a third of 50 machines a second were
-    // rented, and the first tasks of jobs submitted at the start began after 90 s.
+    // Guards against renting too slowly: with a fleet of this size only a third of 50 machines per
+    // second were rented, and the first tasks of jobs submitted at the start began after 90 s.
     let mut simulation = empty_fleet(600);
     simulation.run(secs(2));
     (0..40).for_each(|number| assert_eq!(simulation.submit(0, job(number, 160)), Some(201)));
     simulation.run(secs(4));
     assert!(simulation.cloud.machines.len() >= 400, "{} machines", simulation.cloud.machines.len());
     for zone in ZONES {
-        let in_zone = simulation.cloud.machines.values().filter(|m| m.zone == zone).count();
+        let in_zone = simulation.cloud.machines.values().filter(|machine| machine.zone == zone).count();
         assert!(in_zone * 4 >= simulation.cloud.machines.len(), "{in_zone} machines in {zone}");
     }
 }
 
-/// Returns a fleet of running on-demand machines, each with replicas of many small services.
+/// Returns a fleet of running on-demand machines that run replicas of many small services.
 fn fleet_with_services(machines: usize, services: u32) -> Simulation {
     let team = Team { cpus: 20_000.0, cpus_max: 40_000.0, gpus: 0.0, gpus_max: 0.0 };
     let teams = BTreeMap::from([("red".into(), team)]);
@@ -48,7 +48,7 @@
     simulation
 }
 
-/// Facts of a large deployment with three teams, each with this guarantee and this limit of CPUs.
+/// Returns the facts of a large deployment with three teams, each with this guarantee and this limit of CPUs.
 fn large_deployment(cpus: f64, cpus_max: f64) -> Facts {
     let team = |name: &str| (name.to_owned(), Team { cpus, cpus_max, gpus: 0.0, gpus_max: 0.0 });
     Facts {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Returns the machines on which replicas run, and the number of running replicas.
+/// Returns the machines on which replicas of the services run, and the number of running replicas.
 fn running_replicas(simulation: &Simulation, services: u32) -> (BTreeSet<String>, usize) {
     let placements: Vec<_> =
         (0..services).flat_map(|number| simulation.running_tasks(&format!("wk-{number:06}"))).collect();
@@ -71,9 +71,9 @@
 
 #[test]
 fn partition_shorter_than_the_lease_loses_no_replicas() {
-    // Guards against giving up too early: with a third of the machines partitioned, they were
-    // released within seconds, and no machine had free resources for their replicas before
-    // new machines had booted.
+    // Guards against giving machines up too early: when a third of the machines was partitioned,
+    // they were released within seconds, and no machine had free resources for their replicas
+    // before new machines had booted.
     let mut simulation = fleet_with_services(60, 60);
     let (hosts, running) = running_replicas(&simulation, 60);
     assert_eq!(running, 480);
@@ -119,7 +119,7 @@
     }
     simulation.run(secs(8));
     assert_eq!(running_replicas(&simulation, 60).1, 480, "replicas were not restarted before the leases expired");
-    // Jobs that may use spot machines, all of which are then reclaimed without notice.
+    // These jobs may use spot machines, all of which are then reclaimed without notice.
     (100..112).for_each(|number| assert_eq!(simulation.submit(0, job(number, 60)), Some(201)));
     simulation.run(secs(16));
     let spot: Vec<String> =
@@ -230,7 +230,8 @@
     assert_eq!((record["zone"].as_str(), record["episode"].as_u64()), (Some(ZONES[0]), Some(1)), "{record}");
 }
 
-/// Boots a fleet of about the size in production, crashes its leader and partitions a zone.
+/// Boots a fleet of about the size of the production fleet, crashes its leader and partitions a zone. Asserts that no
+/// task is restarted for the crash, and that all tasks of the zone run again.
 fn lose_leader_and_zone_at_4000_machines(policy: Policy) -> Simulation {
     // Some of the bounds below derive from the number of machines.
     const MACHINES: usize = 4000;
--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Lowered limits of the state service. The fake state service fails a scenario that exceeds them.
+//! Scenario tests of lowered limits of the state service. The fake state service fails a scenario that exceeds them.
 
 use std::collections::BTreeMap;
 
@@ -93,8 +93,8 @@
 
 #[test]
 fn nearly_full_segment_delays_no_placement() {
-    // Guards against a placement that fits into the last segment to the byte, but not with the margin that
-    // is kept for one more task: it was not written, and no new segment was begun, until something else changed.
+    // Guards against a delayed write of a placement that just fits into the last segment, but not with the margin
+    // that is kept for one more task: it was not written, and no new segment was begun, until something else changed.
     let team = Team { cpus: 400.0, cpus_max: 400.0, gpus: 0.0, gpus_max: 0.0 };
     let mut with_second_segment = 0;
     for tasks in 155..175 {
--- a/crates/core/tests/machines.rs
+++ b/crates/core/tests/machines.rs
@@ -1,10 +1,11 @@
-//! Machines that die, fail tasks, receive nothing or report late, and orders that arrive late.
+//! Scenario tests of machines that die, fail tasks, receive nothing or report late, and of orders that arrive late.
 
 use std::time::Duration;
 
 use rushyoke_testkit::{Simulation, job, secs, service};
 use rushyoke_wire::job::JobStatus;
 
+/// Returns the node after the given one, in cyclic order.
 fn next_node(node: usize) -> usize {
     (node + 1) % 3
 }
@@ -31,7 +32,7 @@
         simulation.delayed_orders_until.insert(name.into(), simulation.now + secs(25));
     }
     simulation.submit(0, job(1, 8));
-    // The direct start orders are held back; the responses to reports carry the same orders.
+    // The direct start orders are delayed; the responses to reports carry the same orders.
     simulation.run(secs(8));
     assert_eq!(simulation.running_tasks("wk-000001").len(), 8);
     simulation.delayed_orders_until.clear();
@@ -70,7 +71,7 @@
     simulation.workers.remove(&machine);
     simulation.run(secs(10));
     let placements = simulation.running_tasks("wk-000001");
-    assert!(placements.len() == 2 && placements.iter().all(|(_, m)| *m != machine), "{placements:?}");
+    assert!(placements.len() == 2 && placements.iter().all(|(_, host)| *host != machine), "{placements:?}");
 }
 
 #[test]
@@ -124,11 +125,12 @@
     let placements = simulation.running_tasks("wk-000001");
     let spot = placements
         .iter()
-        .map(|(_, m)| m.clone())
-        .find(|m| simulation.workers[m].spot)
+        .map(|(_, machine)| machine.clone())
+        .find(|machine| simulation.workers[machine].spot)
         .expect("a task runs on a spot machine");
-    let tasks_on_spot =
-        |simulation: &Simulation| simulation.running_tasks("wk-000001").iter().filter(|(_, m)| *m == spot).count();
+    let tasks_on_spot = |simulation: &Simulation| {
+        simulation.running_tasks("wk-000001").iter().filter(|(_, machine)| *machine == spot).count()
+    };
     simulation.workers.get_mut(&spot).expect("the machine is up").notice_s = Some(4.0);
     simulation.run(secs(3));
     assert_eq!(tasks_on_spot(&simulation), 0);
@@ -202,7 +204,7 @@
         simulation.run(secs(19));
         let placements = simulation.running_tasks("wk-000001");
         assert!(
-            placements.len() == 3 && placements.iter().all(|(_, m)| *m != dead),
+            placements.len() == 3 && placements.iter().all(|(_, machine)| *machine != dead),
             "copies {delay_s} s late: {placements:?}"
         );
     }
@@ -236,7 +238,7 @@
     simulation.cloud.capacity = 1;
     simulation.submit(0, service(1, 4));
     simulation.run(secs(100));
-    // Its sessions and report numbers start from the beginning, so its reports look like late copies.
+    // The numbers of its sessions and reports start again from the beginning, so its reports look like late copies.
     simulation.restart_worker("n-000000");
     simulation.run(secs(8));
     assert_eq!(simulation.running_tasks("wk-000001").len(), 4);
@@ -258,12 +260,13 @@
         simulation.delayed_orders_until.insert(name.into(), simulation.now + secs(22));
     }
     simulation.submit(0, service(1, 8));
-    // The direct start orders are held back; the responses to reports carry the same orders.
+    // The direct start orders are delayed; the responses to reports carry the same orders.
     simulation.run(secs(8));
     assert_eq!(simulation.running_tasks("wk-000001").len(), 8);
     simulation.delayed_orders_until.clear();
     let (_, restarted) = simulation.running_tasks("wk-000001")[0].clone();
-    // The late start orders match its first session again, while the notice moves its tasks elsewhere.
+    // The restarted worker is in its first session again, which the late start orders match, while the notice
+    // moves its tasks elsewhere.
     simulation.restart_worker(&restarted);
     simulation.workers.get_mut(&restarted).expect("the machine is up").notice_s = Some(60.0);
     simulation.cloud.outage = true;
@@ -275,8 +278,8 @@
 
 #[test]
 fn healthy_machine_that_has_not_reported_yet_gets_tasks() {
-    // Guards against leaving healthy machines idle, seen with 4,000 machines: those that had just booted were
-    // considered to report no more, although they had not reported yet, and got no tasks.
+    // Guards against leaving healthy machines idle, as seen with 4,000 machines: machines that had just booted
+    // were considered to have stopped reporting, although they had not reported yet, and got no tasks.
     let mut simulation = Simulation::with_elected_leader(1);
     simulation.cloud.capacity = 2;
     let new_machine = simulation.cloud.add_machine(simulation.now, "a", false);
--- a/crates/core/tests/pipelines.rs
+++ b/crates/core/tests/pipelines.rs
@@ -1,11 +1,11 @@
-//! Jobs with dependencies. In every scenario the simulated world checks that no task starts before
-//! all dependencies of its job are done, and that no job is reported as queued or running for longer
-//! than `cancel_s` after a job that it depends on, directly or through others, was cancelled.
+//! Scenario tests of jobs with dependencies. In every scenario the simulation checks that no task
+//! starts before all dependencies of its job are done, and that no job is reported as queued or
+//! running for longer than `cancel_s` after a direct or indirect dependency of it was cancelled.
 
 use rushyoke_testkit::{Simulation, all_in_state, dependent_job, job, job_id, millis, secs, service};
 use rushyoke_wire::job::{JobSpec, JobStatus, Priority};
 
-/// Submits jobs 1 to 5: 2 and 3 depend on 1, 4 depends on both, and 5 depends on 4.
+/// Submits jobs 1 to 5: jobs 2 and 3 depend on 1, job 4 depends on 2 and 3, and job 5 depends on 4.
 fn submit_diamond(simulation: &mut Simulation) {
     let specs = [
         dependent_job(1, 3, &[]),
@@ -61,7 +61,7 @@
 
 #[test]
 fn cancelling_a_job_cancels_all_its_dependents() {
-    // Direct and indirect dependents, whichever job is cancelled and whichever node leads.
+    // Direct and indirect dependents are cancelled, whichever job is cancelled and whichever node leads.
     for (root, cancelled_jobs) in [(1, 1..=5), (2, 4..=5), (4, 4..=5)] {
         for delay_ms in [0, 1000, 3000] {
             let (mut simulation, leader) = Simulation::with_short_tasks();
@@ -135,7 +135,7 @@
 
 #[test]
 fn orphan_is_reported_as_cancelled_while_no_node_leads() {
-    // Without a leader no end is recorded; the reported state is derived from the cancelled job.
+    // Without a leader, the end of an orphan is not recorded; its reported state is derived from the cancelled job.
     let (mut simulation, leader) = Simulation::with_short_tasks();
     submit_diamond(&mut simulation);
     let node = (leader + 1) % 3;
@@ -182,7 +182,7 @@
 fn job_inherits_the_priority_of_its_dependents() {
     let (mut simulation, _) = Simulation::with_short_tasks();
     simulation.cloud.capacity = 3;
-    // The fleet is full, and at the end of a long queue is a pipeline whose last job has high priority.
+    // The fleet is full, and the last two jobs of a long queue form a pipeline that ends in a job of high priority.
     let filler = |number: u32| JobSpec { team: "blue".into(), ..job(number, 48) };
     simulation.submit(0, filler(1));
     simulation.submit(0, filler(2));
@@ -200,7 +200,7 @@
         let has_started = |number: u32| !simulation.running_tasks(&job_id(number)).is_empty();
         first = first.or_else(|| [8, 3, 4, 5].into_iter().find(|number| has_started(*number)));
     }
-    assert_eq!(first, Some(8), "job 8 must start before jobs of its own and of higher priority");
+    assert_eq!(first, Some(8), "job 8 must start before jobs of higher priority that have no urgent dependents");
     simulation.run(secs(40));
     assert_eq!(simulation.job_states(1, 8..=9), all_in_state(JobStatus::Done, 2));
 }
--- a/crates/core/tests/random_faults.rs
+++ b/crates/core/tests/random_faults.rs
@@ -1,5 +1,5 @@
-//! Random combinations of faults, for the pairs that no other scenario covers. The seeds are fixed; to run
-//! others: `MIX_SEEDS=100..400 cargo test --release -p rushyoke-core --test random_faults`.
+//! Scenario tests of random combinations of faults, for pairs that no other scenario covers. The seeds are fixed; to
+//! run others: `MIX_SEEDS=100..400 cargo test --release -p rushyoke-core --test random_faults`.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 const DEFAULT_SEEDS: std::ops::Range<u64> = 1..13;
 
-/// Returns the seeds of `MIX_SEEDS`, or the default ones.
+/// Returns the seeds in the environment variable `MIX_SEEDS`, or the default ones.
 fn seeds() -> std::ops::Range<u64> {
     let Ok(text) = std::env::var("MIX_SEEDS") else { return DEFAULT_SEEDS };
     let (from, to) = text.split_once("..").expect("MIX_SEEDS is a range such as 100..400");
@@ -60,7 +60,7 @@
     }
 }
 
-/// Users query jobs at all nodes, and submit them again.
+/// Queries random jobs at all nodes, and submits them again.
 fn query_and_resubmit(simulation: &mut Simulation, rng: &mut StdRng, last_job: u32) {
     for _ in 0..4 {
         let number = rng.random_range(1..=last_job);
@@ -71,7 +71,7 @@
     }
 }
 
-/// Whether a job, or one that it depends on directly or through others, is one of these.
+/// Whether a job or one of its direct or indirect dependencies is among these.
 fn is_or_depends_on(simulation: &Simulation, id: &str, numbers: &[u32]) -> bool {
     let is_listed = numbers.iter().any(|listed| format!("wk-{listed:06}") == id);
     is_listed
--- a/crates/core/tests/relay.rs
+++ b/crates/core/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Scenario tests of reports that a follower relays to the leader, on in-memory fakes.
+//! Scenario tests of reports that a follower relays to the leader.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use rushyoke_core::{Facts, Policy, Team};
 use rushyoke_testkit::{Simulation, facts, secs, service};
 
-/// Returns a world in which twelve machines run a service of 60 tasks; four machines report to each node.
+/// Returns a simulation in which twelve machines run a service of 60 tasks; four machines report to each node.
 fn running_service() -> Simulation {
     let mut simulation = Simulation::new(12);
     for (n, worker) in simulation.workers.values_mut().enumerate() {
@@ -104,7 +104,7 @@
     simulation.run(secs(30));
     assert_eq!(workers_reporting_to(&simulation, leader), 0);
     check_undisturbed(&simulation);
-    // All nodes are equally busy, so no worker is redirected.
+    // Once all nodes are equally busy, no worker is redirected.
     (0..3).for_each(|node| {
         simulation.processor_load.insert(node, (0.9, Duration::ZERO));
     });
--- a/crates/core/tests/scheduling.rs
+++ b/crates/core/tests/scheduling.rs
@@ -18,10 +18,10 @@
 
 #[test]
 fn a_team_at_its_quota_limit_preempts_its_own_lower_priority_tasks() {
-    // Guards against jobs that wait for a backfill job of their own team to end, for a minute in one case,
-    // while machines are idle: the team has reached its quota limit.
+    // Guards against jobs that wait while machines are idle, for a minute in one case, because a backfill job of
+    // their own team uses all of the team's quota limit.
     let mut simulation = Simulation::with_elected_leader(6);
-    simulation.workers.values_mut().for_each(|w| w.task_duration_s = 300.0);
+    simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 300.0);
     // Exceeds the team's guaranteed quota, so that the more urgent job may preempt it.
     let mut backfill = job(1, 64);
     backfill.priority = Priority::BestEffort;
@@ -40,7 +40,7 @@
     simulation.cloud.capacity = 3;
     let mut borrower = job(1, 60);
     borrower.team = "blue".into();
-    simulation.workers.values_mut().for_each(|w| w.task_duration_s = 300.0);
+    simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 300.0);
     simulation.submit(0, borrower);
     simulation.run(secs(3));
     assert!(simulation.running_tasks("wk-000001").len() > 32);
@@ -117,6 +117,6 @@
         }
     }
     assert!(started_after.is_some_and(|delay| delay <= secs(240)), "started after {started_after:?}");
-    let done = simulation.status(0, "wk-000001").and_then(|s| s.1?.done).expect("a response");
+    let done = simulation.status(0, "wk-000001").and_then(|response| response.1?.done).expect("a response");
     assert!(done >= 6, "{done} of 12 tasks done");
 }
--- a/crates/core/tests/soak.rs
+++ b/crates/core/tests/soak.rs
@@ -1,6 +1,6 @@
 //! Soak test: random combinations of cancellations with unreachable machines of each kind, outages of the state
-//! service and the cloud, and a change of leader. The simulated world checks the invariants that users rely on
-//! at every step. CI runs the seeds in `CI_SEEDS`; start a long run by hand:
+//! service and the cloud, and a change of leader. The simulation checks the invariants that users rely on at
+//! every step. CI runs the seeds in `CI_SEEDS`; start a long run by hand:
 //! `SOAK_SEEDS=1000..3000 cargo test --release -p rushyoke-core --test soak`.
 
 use std::ops::Range;
@@ -73,7 +73,7 @@
     MachineFault::LinkPartitioned { node: 0 },
 ];
 
-/// Returns deployments with different report intervals, worker leases and time limits for cancelled jobs.
+/// Returns the facts of deployments with different report intervals, worker leases and time limits for cancelled jobs.
 fn facts_of_deployments() -> [Facts; 4] {
     let with_times = |report, lease, cancel| Facts {
         report_interval: secs(report),
@@ -159,7 +159,7 @@
     events
 }
 
-/// Applies an event to the world.
+/// Applies an event to the simulation.
 fn apply(simulation: &mut Simulation, event: SoakEvent) {
     let leader = simulation.leader().unwrap_or_default();
     match event {
--- a/crates/core/tests/state_service.rs
+++ b/crates/core/tests/state_service.rs
@@ -4,7 +4,7 @@
 use rushyoke_testkit::{Simulation, job, secs, service};
 use rushyoke_wire::job::JobStatus;
 
-/// Returns a node other than the given one.
+/// Returns the node after the given one, in cyclic order.
 fn next_node(node: usize) -> usize {
     (node + 1) % 3
 }
@@ -17,7 +17,7 @@
     let before = (simulation.running_tasks("wk-000001"), simulation.leader());
     simulation.store.outage = true;
     simulation.run(secs(14));
-    assert_eq!(simulation.status(0, "wk-000001").map(|s| s.0), Some(503));
+    assert_eq!(simulation.status(0, "wk-000001").map(|response| response.0), Some(503));
     let now = simulation.now;
     simulation.store.end_outage(now);
     simulation.run(secs(5));
@@ -79,8 +79,8 @@
 
 #[test]
 fn an_unanswered_transaction_cannot_apply_after_the_log_advances() {
-    // Guards against a late copy of a transaction that is applied after a newer segment was begun: it would
-    // override the newer segment with outdated placements.
+    // Guards against a transaction that is applied late, after a newer segment was begun: it would override the
+    // newer segment with outdated placements.
     let mut simulation = Simulation::with_elected_leader(4);
     let small_job = |id, tasks| {
         let mut spec = job(id, tasks);
@@ -115,7 +115,7 @@
     simulation.crash_node(leader);
     simulation.run(secs(15));
     assert!(simulation.running_tasks("wk-000001").len() > 100);
-    let view = simulation.status(next_node(leader), "wk-000001").and_then(|s| s.1).expect("a response");
+    let view = simulation.status(next_node(leader), "wk-000001").and_then(|response| response.1).expect("a response");
     assert!(view.done.is_some_and(|done| done > 100), "{view:?}");
 }
 
@@ -129,10 +129,10 @@
     simulation.partitioned_from_store.insert(follower);
     simulation.status(follower, "wk-000001");
     simulation.run(secs(3));
-    assert_eq!(simulation.status(follower, "wk-000001").map(|s| s.0), Some(503));
+    assert_eq!(simulation.status(follower, "wk-000001").map(|response| response.0), Some(503));
     simulation.partitioned_from_store.clear();
     simulation.run(secs(1));
-    assert_eq!(simulation.status(follower, "wk-000001").map(|s| s.0), Some(200));
+    assert_eq!(simulation.status(follower, "wk-000001").map(|response| response.0), Some(200));
 }
 
 #[test]
--- a/crates/core/tests/stops.rs
+++ b/crates/core/tests/stops.rs
@@ -1,5 +1,5 @@
 //! Scenario tests of stop orders for cancelled tasks that are lost, delayed or get late responses. Tasks must have
-//! stopped within `cancel_s` of the response that confirmed the cancellation to a user; the simulated world checks
+//! stopped within `cancel_s` of the response that confirmed the cancellation to a user; the simulation checks
 //! this and all other invariants at every step.
 
 use std::collections::BTreeMap;
@@ -13,12 +13,12 @@
 /// Cancelled tasks have stopped within this time after direct calls reach their machine again (`docs/design.md`).
 const STOP_LIMIT_ONCE_REACHABLE: Duration = Duration::from_secs(5);
 
-/// Returns a deployment whose leases last longer than a leader may respond without the state service.
+/// Returns the facts of a deployment whose leases last longer than a leader may respond without the state service.
 fn facts_with_long_leases() -> Facts {
     Facts { report_interval: secs(4), worker_lease: secs(28), cancel_limit: secs(48), ..facts(0, 3) }
 }
 
-/// Returns a world in which all tasks of job 1 run, and the leader.
+/// Returns a simulation in which all tasks of job 1 run, and the leader.
 fn running_job(machines: usize, spec: JobSpec) -> (Simulation, usize) {
     let mut simulation = Simulation::with_facts(facts_with_long_leases(), machines, Policy::default(), &["a"]);
     let tasks = spec.tasks as usize;
@@ -139,7 +139,7 @@
     assert_eq!(running(&simulation), 80 * 150);
     let leader = simulation.leader().expect("a leader");
     let zone_machines: Vec<String> =
-        simulation.workers.values().filter(|w| w.zone == "a").map(|w| w.name.clone()).collect();
+        simulation.workers.values().filter(|worker| worker.zone == "a").map(|worker| worker.name.clone()).collect();
     let until = simulation.now + secs(20);
     zone_machines.iter().for_each(|name| {
         simulation.inject_fault(name, MachineFault::InterruptedWithoutConnections, until - simulation.now)
--- a/crates/core/tests/submissions.rs
+++ b/crates/core/tests/submissions.rs
@@ -4,7 +4,7 @@
 use rushyoke_testkit::{Simulation, facts, job, secs, service};
 use rushyoke_wire::job::JobStatus;
 
-/// Returns a node other than the given one.
+/// Returns the node after the given one, in cyclic order.
 fn next_node(node: usize) -> usize {
     (node + 1) % 3
 }
@@ -19,7 +19,7 @@
     for node in 0..3 {
         assert_eq!(simulation.job_state(node, "wk-000001"), Some(JobStatus::Done));
     }
-    assert_eq!(simulation.status(2, "wk-000009").map(|s| s.0), Some(404));
+    assert_eq!(simulation.status(2, "wk-000009").map(|response| response.0), Some(404));
 }
 
 #[test]
@@ -52,7 +52,7 @@
     let facts = Facts { max_job_bytes: 40_000, ..facts(0, 3) };
     let mut simulation = Simulation::with_facts(facts, 1, Policy::default(), &["a"]);
     simulation.run(secs(6));
-    // Only three jobs, but with 100,000 tasks each.
+    // There are only three jobs, but with 100,000 tasks each.
     (1..=3).for_each(|id| assert_eq!(simulation.submit(0, job(id, 100_000)), Some(201)));
     simulation.run(secs(3));
     (0..3).for_each(|node| assert_eq!(simulation.submit(node, job(4, 1)), Some(429)));
@@ -67,19 +67,19 @@
     simulation.submit(0, job(1, 3));
     simulation.run(secs(14));
     assert_eq!(simulation.job_state(2, "wk-000001"), Some(JobStatus::Done));
-    for n in 0..3 {
-        simulation.crash_node(n);
+    for node in 0..3 {
+        simulation.crash_node(node);
     }
-    for n in 0..3 {
-        simulation.start_node(n);
+    for node in 0..3 {
+        simulation.start_node(node);
     }
     simulation.run(secs(5));
-    for n in 0..3 {
-        assert_eq!(simulation.job_state(n, "wk-000001"), Some(JobStatus::Done));
-        let response = simulation.cancel(n, "wk-000001").expect("a response");
-        assert_eq!(response.1.map(|v| v.state), Some(JobStatus::Done));
+    for node in 0..3 {
+        assert_eq!(simulation.job_state(node, "wk-000001"), Some(JobStatus::Done));
+        let response = simulation.cancel(node, "wk-000001").expect("a response");
+        assert_eq!(response.1.map(|view| view.state), Some(JobStatus::Done));
     }
-    // A resubmission to a node that has no record of the job in memory.
+    // The node has no record of the resubmitted job in memory.
     assert_eq!(simulation.submit(1, job(1, 3)), Some(200));
 }
 
@@ -87,12 +87,12 @@
 fn a_resubmitted_job_runs_once_after_a_crash_of_every_node() {
     let mut simulation = Simulation::with_elected_leader(1);
     assert_eq!(simulation.submit(0, job(1, 4)), Some(201));
-    for n in 0..3 {
-        simulation.crash_node(n);
+    for node in 0..3 {
+        simulation.crash_node(node);
     }
     simulation.run(secs(3));
-    for n in 0..3 {
-        simulation.start_node(n);
+    for node in 0..3 {
+        simulation.start_node(node);
     }
     simulation.run(secs(5));
     assert_eq!(simulation.submit(2, job(1, 4)), Some(200));
--- a/crates/core/tests/takeovers.rs
+++ b/crates/core/tests/takeovers.rs
@@ -6,7 +6,7 @@
 use rushyoke_testkit::{Simulation, job, secs, service};
 use rushyoke_wire::job::JobStatus;
 
-/// Returns a node other than the given one.
+/// Returns the node after the given one, in cyclic order.
 fn next_node(node: usize) -> usize {
     (node + 1) % 3
 }
@@ -21,8 +21,8 @@
     assert_eq!(simulation.running_tasks("wk-000001").len(), 3);
     let leader = simulation.leader().expect("a leader");
     simulation.crash_node(leader);
-    let cancelled = simulation.cancel(next_node(leader), "wk-000001").expect("a response");
-    assert_eq!(cancelled.1.map(|v| v.state), Some(JobStatus::Cancelled));
+    let response = simulation.cancel(next_node(leader), "wk-000001").expect("a response");
+    assert_eq!(response.1.map(|view| view.state), Some(JobStatus::Cancelled));
     simulation.run(secs(12));
     assert!(simulation.running_tasks("wk-000001").is_empty());
     assert!(!simulation.store.rows.keys().any(|key| key.starts_with("live/") || key.starts_with("task/")));
@@ -58,12 +58,12 @@
     simulation.crash_node(leader);
     simulation.run(secs(9));
     assert!(
-        simulation.running_tasks("wk-000001").iter().any(|(_, m)| *m == machine),
+        simulation.running_tasks("wk-000001").iter().any(|(_, host)| *host == machine),
         "a task stopped before its lease expired"
     );
     simulation.run(secs(40));
     let placements = simulation.running_tasks("wk-000001");
-    assert!(placements.len() == 4 && placements.iter().all(|(_, m)| *m != machine), "{placements:?}");
+    assert!(placements.len() == 4 && placements.iter().all(|(_, host)| *host != machine), "{placements:?}");
 }
 
 #[test]
@@ -82,7 +82,7 @@
     assert_eq!(simulation.running_tasks("wk-000001").len(), 4);
     assert_eq!(simulation.running_tasks("wk-000002").len(), 2);
     // The partitioned node rejects users at once, and the other nodes serve them.
-    assert_eq!(simulation.status(old_leader, "wk-000001").map(|s| s.0), Some(503));
+    assert_eq!(simulation.status(old_leader, "wk-000001").map(|response| response.0), Some(503));
     assert_eq!(simulation.ready(old_leader), Some(503));
     assert_eq!(simulation.ready(new_leader), Some(200));
 }
@@ -139,7 +139,7 @@
 
 #[test]
 fn responses_while_jobs_are_read_again_renew_leases() {
-    // Guards against responses that do not count as lease renewals while jobs are read again, as can last
+    // Guards against responses that do not count as lease renewals while jobs are read again, which can take
     // long with a large fleet: the lease of a machine partitioned afterwards seemed to have expired long ago.
     let mut simulation = Simulation::with_elected_leader(3);
     simulation.submit(0, service(1, 3));
@@ -154,7 +154,7 @@
     assert!(simulation.running_tasks("wk-000005").is_empty(), "the list of jobs was not delayed");
     simulation.partitioned_machines.insert(machine);
     simulation.delayed_lists_until = None;
-    // The simulated world checks that no task runs twice.
+    // The simulation checks that no task runs twice.
     simulation.run(secs(40));
     assert_eq!(simulation.running_tasks("wk-000001").len(), 3);
 }
@@ -277,7 +277,9 @@
         let leader = simulation.leader().expect("a leader");
         // The leader's transactions are applied late, and copies of all machines' reports arrive again.
         simulation.timed_out_txns_until.insert(leader, simulation.now + secs(6));
-        simulation.duplicated_reports_after.extend(["n-000000", "n-000001"].map(|m| (m.to_owned(), secs(5))));
+        simulation
+            .duplicated_reports_after
+            .extend(["n-000000", "n-000001"].map(|machine| (machine.to_owned(), secs(5))));
         simulation.run(Duration::from_millis(300));
         simulation.crash_node(leader);
         simulation.run(Duration::from_millis(delay));
--- a/crates/core/tests/upgrade.rs
+++ b/crates/core/tests/upgrade.rs
@@ -16,10 +16,12 @@
 struct Fixture(Value);
 
 impl Fixture {
+    /// Returns the fixture of the version that does not support dependencies.
     fn before_dependencies() -> Fixture {
         Fixture::parse(include_str!("fixtures/before-awaits.json"))
     }
 
+    /// Returns the fixture of the first version that supports dependencies.
     fn with_dependencies() -> Fixture {
         Fixture::parse(include_str!("fixtures/with-awaits.json"))
     }
@@ -39,7 +41,7 @@
         (0..text.len()).step_by(2).map(|i| u8::from_str_radix(&text[i..i + 2], 16).expect("a byte")).collect()
     }
 
-    /// Returns a world with these records, whose machines run the tasks that the records place on them.
+    /// Returns a simulation with these records, whose machines run the tasks that the records place on them.
     fn to_simulation(&self) -> Simulation {
         let mut simulation = Simulation::new(8);
         for (key, (value, version)) in self.rows().into_iter().filter(|(key, _)| key != "lead") {
@@ -53,7 +55,7 @@
                 }
             }
             if let Some(id) = key.strip_prefix("live/") {
-                let spec: JobSpec = serde_json::from_value(value["spec"].clone()).expect("a description");
+                let spec: JobSpec = serde_json::from_value(value["spec"].clone()).expect("a job spec");
                 simulation.checker.add_earlier_dependencies(id, &spec.dependencies);
                 simulation.specs.insert(id.into(), spec);
             }
@@ -64,7 +66,7 @@
         }
         let specs = &simulation.specs;
         for worker in simulation.workers.values_mut() {
-            // Jobs that ended after their placement have no description any more.
+            // Jobs that ended after their placement have no spec any more.
             worker.tasks.retain(|task| specs.contains_key(job_id_of(task)));
             for task in worker.tasks.iter_mut().filter(|task| specs[job_id_of(task)].kind == Kind::Service) {
                 task.state_ends_at = Duration::MAX;
@@ -133,8 +135,8 @@
         assert_eq!(simulation.job_state(number as usize % 3, &job_id(number)), Some(JobStatus::Done), "job {number}");
     }
     assert_eq!(simulation.checker.dependent_starts, 4 + 3 * 2 + 2 + 2 * 2, "the order of starts was not checked");
-    let live = |id: u32| simulation.store.rows.contains_key(&format!("live/{}", job_id(id)));
-    assert!((2..=10).all(|id| !live(id)), "the record of an ended job is still live");
+    let has_live_record = |id: u32| simulation.store.rows.contains_key(&format!("live/{}", job_id(id)));
+    assert!((2..=10).all(|id| !has_live_record(id)), "the record of an ended job is still live");
 }
 
 #[test]
@@ -217,15 +219,15 @@
     simulation.run(secs(2));
     let leader = simulation.leader().expect("a leader");
     simulation.crash_node(leader);
-    let (mut live, version, _) = simulation.store.rows["live/wk-000002"].clone();
-    live["cancelled"] = true.into();
-    live["spec"].as_object_mut().expect("a description").remove("awaits");
+    let (mut live_record, version, _) = simulation.store.rows["live/wk-000002"].clone();
+    live_record["cancelled"] = true.into();
+    live_record["spec"].as_object_mut().expect("a job spec").remove("awaits");
     let record = serde_json::json!({ "state": "cancelled", "tasks": 2 });
     let txn = rushyoke_wire::store::Txn::default()
         .when("job/wk-000002", version)
         .when("live/wk-000002", version)
         .put("job/wk-000002", record)
-        .put("live/wk-000002", live);
+        .put("live/wk-000002", live_record);
     let now = simulation.now;
     let response = simulation.store.execute(now, &rushyoke_core::StoreOp::Txn(txn));
     assert!(matches!(response, rushyoke_core::StoreResponse::Committed(_)));
--- a/crates/core/tests/user_responses.rs
+++ b/crates/core/tests/user_responses.rs
@@ -1,14 +1,15 @@
-//! Consistency of the responses to users who query every node repeatedly while responses of the
-//! state service are late or lost. The simulated world checks each response against everything
-//! that any node had reported before the request was sent.
+//! Scenario tests of the consistency of responses to users who query every node repeatedly while
+//! responses of the state service are late or lost. The simulation checks each response against
+//! everything that any node had reported before the request was sent.
 
 use rushyoke_testkit::{Simulation, job, millis, secs, service};
 use rushyoke_wire::job::{JobSpec, JobStatus};
 
 #[test]
 fn comparison_in_flight_does_not_answer_later_requests() {
-    // Guards against a job reported as done and then as running: a request was answered from a
-    // comparison sent for an earlier request, before another node had reported the newer state.
+    // Guards against a job reported as done and then as running: a node responded to a request with
+    // the result of a comparison sent for an earlier request, before another node had reported the
+    // newer state.
     for final_state in ["accepted", "cancelled", "done"] {
         let mut simulation = Simulation::with_elected_leader(2);
         let id = "wk-000001";
@@ -53,8 +54,8 @@
 
 #[test]
 fn job_evicted_from_the_cache_during_a_comparison_is_not_reported_as_unknown() {
-    // The result of the comparison with the state service holds, even if the cache has evicted
-    // the job since.
+    // The result of the comparison with the state service is reported even if the cache has evicted
+    // the job since then.
     let policy = rushyoke_core::Policy { job_cache_size: 4, ..rushyoke_core::Policy::default() };
     let mut simulation = Simulation::with_policy(2, policy, &["a"]);
     simulation.run(secs(6));
@@ -108,6 +109,7 @@
     simulation.check_recovered();
 }
 
+/// Returns the node after the given one, in cyclic order.
 fn next_node(node: usize) -> usize {
     (node + 1) % 3
 }
@@ -170,7 +172,7 @@
 
 #[test]
 fn jobs_that_can_never_run_are_rejected_by_every_node_every_time() {
-    // Also while the state service responds late, and between resubmissions of an accepted job.
+    // They are rejected also while the state service responds late, and between resubmissions of an accepted job.
     let mut simulation = Simulation::with_elected_leader(1);
     simulation.submit(0, job(1, 2));
     let invalid_specs = [
