--- a/crates/core/tests/scheduling.rs
+++ b/crates/core/tests/scheduling.rs
@@ -19,7 +19,7 @@
 #[test]
 fn a_team_at_its_quota_limit_preempts_its_own_lower_priority_tasks() {
     // Guards against jobs that wait while machines are idle, for a minute in one case, because a backfill job of
-    // their own team uses all of the team's quota limit.
+    // their own team has used up the quota limit.
     let mut simulation = Simulation::with_elected_leader(6);
     simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 300.0);
     // Exceeds the team's guaranteed quota, so that the more urgent job may preempt it.
