--- a/crates/core/tests/limits.rs
+++ b/crates/core/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Lowered limits of the state service. The fake state service fails a scenario that exceeds them.
+//! Scenario tests of lowered limits of the state service. The fake state service fails a scenario that exceeds them.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
     let wide_array = |id| JobSpec { team: "blue".into(), cpus: 0.02, memory_gb: 0.1, ..job(id, 200) };
     (5..8).for_each(|id| assert_eq!(simulation.submit(0, wide_array(id)), Some(201)));
     simulation.run(secs(8));
-    let (rows, rules) = (std::mem::take(&mut simulation.store.rows), std::mem::take(&mut simulation.checker));
+    let (rows, checker) = (std::mem::take(&mut simulation.store.rows), std::mem::take(&mut simulation.checker));
     let largest = rows.values().map(|(value, ..)| value.to_string().len()).max();
     assert!(largest > Some(2048), "no large values: {largest:?}");
     let lower_limits = Facts { value_bytes: 2048, txn_ops: 5, ..facts(0, 3) };
@@ -26,7 +26,7 @@
     simulation.workers.values_mut().for_each(|worker| worker.task_duration_s = 20.0);
     (1..5).for_each(|id| drop(simulation.specs.insert(job_id(id), service(id, 14))));
     (5..8).for_each(|id| drop(simulation.specs.insert(job_id(id), wide_array(id))));
-    simulation.checker = rules;
+    simulation.checker = checker;
     simulation.store.rows = rows.into_iter().filter(|(key, _)| key != "lead").collect();
     simulation.store.revision = simulation.store.rows.values().map(|row| row.1).max().unwrap_or_default();
     (simulation.store.max_txn_writes, simulation.store.max_value_bytes) = (5, 2048);
@@ -93,8 +93,8 @@
 
 #[test]
 fn nearly_full_segment_delays_no_placement() {
-    // Guards against a placement that fits into the last segment to the byte, but not with the margin that
-    // is kept for one more task: it was not written, and no new segment was begun, until something else changed.
+    // Guards against a delayed write of a placement that just fits into the last segment, but not with the margin
+    // that is kept for one more task: it was not written, and no new segment was begun, until something else changed.
     let team = Team { cpus: 400.0, cpus_max: 400.0, gpus: 0.0, gpus_max: 0.0 };
     let mut with_second_segment = 0;
     for tasks in 155..175 {
