--- a/crates/core/tests/dependencies.rs
+++ b/crates/core/tests/dependencies.rs
@@ -402,7 +402,7 @@
     run_until(&mut simulation, secs(200), |simulation| {
         is_recorded_done(simulation, 501) && is_recorded_done(simulation, 500)
     });
-    assert_eq!(simulation.checker.dependent_starts, 2 * 460, "the order of all starts must be checked");
+    assert_eq!(simulation.checker.checked_dependencies, 2 * 460, "the order of all starts must be checked");
     for node in 0..3 {
         assert_eq!(simulation.submit(node, dependent_job(501, 2, &dependencies)), Some(200));
         // An accepted job stays accepted, even if its resubmission would be rejected as a new job.
--- a/crates/core/tests/pipelines.rs
+++ b/crates/core/tests/pipelines.rs
@@ -34,7 +34,7 @@
     for node in 0..3 {
         assert_eq!(simulation.job_states(node, 1..=5), all_in_state(JobStatus::Done, 5));
     }
-    assert!(simulation.checker.dependent_starts >= 10, "the order of starts was not checked");
+    assert!(simulation.checker.checked_dependencies >= 10, "the order of starts was not checked");
     assert!(simulation.store.rows.keys().all(|key| key != "live/wk-000005"));
 }
 
--- a/crates/core/tests/upgrade.rs
+++ b/crates/core/tests/upgrade.rs
@@ -132,7 +132,7 @@
     for number in [2, 3, 4, 9, 10] {
         assert_eq!(simulation.job_state(number as usize % 3, &job_id(number)), Some(JobStatus::Done), "job {number}");
     }
-    assert_eq!(simulation.checker.dependent_starts, 4 + 3 * 2 + 2 + 2 * 2, "the order of starts was not checked");
+    assert_eq!(simulation.checker.checked_dependencies, 4 + 3 * 2 + 2 + 2 * 2, "the order of starts was not checked");
     let live = |id: u32| simulation.store.rows.contains_key(&format!("live/{}", job_id(id)));
     assert!((2..=10).all(|id| !live(id)), "the record of an ended job is still live");
 }
--- a/crates/testkit/src/checker.rs
+++ b/crates/testkit/src/checker.rs
@@ -45,7 +45,7 @@
     /// When the cancellation of a job was first confirmed to the user who requested it.
     cancel_confirmed_at: BTreeMap<String, Duration>,
     /// Number of dependencies checked at the starts of dependents' tasks.
-    pub dependent_starts: u64,
+    pub checked_dependencies: u64,
     /// Number of responses with status 200 or 201.
     pub successful_responses: u64,
 }
@@ -161,7 +161,7 @@
                 total,
                 "at {now:?} a task of {job} starts before its dependency {dependency} is done"
             );
-            self.dependent_starts += 1;
+            self.checked_dependencies += 1;
         }
     }
 
