--- a/crates/testkit/src/checker.rs
+++ b/crates/testkit/src/checker.rs
@@ -1,5 +1,5 @@
-//! A checker of what users are told: it records requests and responses, and verifies each response
-//! against the earlier ones and against the tasks that ran.
+//! A checker of the responses that users receive: it records requests and responses, and verifies each
+//! response against the earlier ones and against the tasks that ran.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -25,24 +25,25 @@
     final_state: Option<JobStatus>,
 }
 
-/// Records what users asked and were told, and checks each response.
+/// Records the requests of users and the responses to them, and checks each response.
 #[derive(Default)]
 pub struct Checker {
-    submitted: BTreeSet<String>,
+    submitted_jobs: BTreeSet<String>,
     accepted_jobs: BTreeSet<String>,
-    /// Jobs whose submission was refused for good. Only jobs without dependencies: others may be accepted later.
-    refused: BTreeSet<String>,
+    /// Jobs whose submission was refused permanently. Jobs with dependencies are left out, since they may be
+    /// accepted later.
+    refused_jobs: BTreeSet<String>,
     /// Final states that users were told.
     final_states: BTreeMap<String, JobStatus>,
     /// Jobs that a user asked to cancel.
     cancel_requested: BTreeSet<String>,
     /// Numbers of the tasks that finished on some machine, by job.
-    done_tasks: BTreeMap<String, BTreeSet<u32>>,
+    finished_task_numbers: BTreeMap<String, BTreeSet<u32>>,
     /// Number of tasks, by job.
     task_counts: BTreeMap<String, u32>,
     /// Dependencies, by job.
     dependencies: BTreeMap<String, Vec<String>>,
-    /// When the cancellation of a job was first confirmed to the user who requested it.
+    /// Time at which the cancellation of a job was first confirmed to a user who requested it.
     cancel_confirmed_at: BTreeMap<String, Duration>,
     /// Number of dependencies checked at the starts of dependents' tasks.
     pub checked_dependencies: u64,
@@ -55,7 +56,7 @@
     pub(crate) fn record_request(&mut self, input: &Input) -> UserRequest {
         let (kind, job) = match input {
             Input::Submit { spec, .. } => {
-                self.submitted.insert(spec.id.clone());
+                self.submitted_jobs.insert(spec.id.clone());
                 self.task_counts.entry(spec.id.clone()).or_insert(spec.tasks);
                 self.dependencies.entry(spec.id.clone()).or_insert_with(|| spec.dependencies.clone());
                 (RequestKind::Submit, spec.id.clone())
@@ -95,7 +96,7 @@
                 response.status
             );
             if *kind == RequestKind::Submit && self.dependencies.get(job).is_none_or(Vec::is_empty) {
-                self.refused.insert(job.clone());
+                self.refused_jobs.insert(job.clone());
             }
             return;
         }
@@ -106,8 +107,8 @@
         }
         self.successful_responses += 1;
         let view: JobView = serde_json::from_slice(&response.body).expect("a job's state is well formed");
-        assert!(!self.refused.contains(job), "at {now:?} node {node} accepts {job}, which was refused");
-        assert!(self.submitted.contains(job), "at {now:?} {job}, which nobody submitted, is {:?}", view.state);
+        assert!(!self.refused_jobs.contains(job), "at {now:?} node {node} accepts {job}, which was refused");
+        assert!(self.submitted_jobs.contains(job), "at {now:?} {job}, which nobody submitted, is {:?}", view.state);
         if let Some(final_state) = final_state {
             assert_eq!(view.state, *final_state, "at {now:?} node {node}: {job} left its final state");
         }
@@ -133,7 +134,7 @@
             _ => {
                 let cancelled_at = self.with_dependencies(job).filter_map(|id| self.cancel_confirmed_at.get(&id)).min();
                 assert!(
-                    cancelled_at.is_none_or(|since| now <= *since + cancel_limit),
+                    cancelled_at.is_none_or(|confirmed_at| now <= *confirmed_at + cancel_limit),
                     "at {now:?} node {node}: {job} is {:?}, but it or a dependency was cancelled at {cancelled_at:?}",
                     view.state
                 );
@@ -176,11 +177,11 @@
         if let Some((job, number)) = task.rsplit_once('/')
             && let Ok(number) = number.parse()
         {
-            self.done_tasks.entry(job.to_owned()).or_default().insert(number);
+            self.finished_task_numbers.entry(job.to_owned()).or_default().insert(number);
         }
     }
 
-    /// Records a request to cancel a job that was sent to a node outside the simulation.
+    /// Records a cancellation that a scenario requests from a node outside the simulation.
     pub fn record_cancel_request(&mut self, job: &str) {
         self.cancel_requested.insert(job.to_owned());
     }
@@ -190,7 +191,7 @@
         self.dependencies.insert(job.to_owned(), dependencies.to_vec());
     }
 
-    /// Records that a user was told, just before the simulation started, that the job is cancelled.
+    /// Records that the cancellation of a job was confirmed to a user just before the simulation started.
     pub fn add_earlier_cancellation(&mut self, job: &str, now: Duration) {
         self.cancel_requested.insert(job.to_owned());
         self.final_states.insert(job.to_owned(), JobStatus::Cancelled);
@@ -199,17 +200,17 @@
 
     /// Records a job that was accepted, and finished if `done`, before the simulation started.
     pub fn add_earlier_job(&mut self, job: &str, tasks: u32, done: bool) {
-        self.submitted.insert(job.to_owned());
+        self.submitted_jobs.insert(job.to_owned());
         self.accepted_jobs.insert(job.to_owned());
         self.task_counts.insert(job.to_owned(), tasks);
         if done {
-            self.done_tasks.insert(job.to_owned(), (0..tasks).collect());
+            self.finished_task_numbers.insert(job.to_owned(), (0..tasks).collect());
         }
     }
 
     /// Returns the number of a job's tasks that finished on some machine.
     pub fn finished_tasks(&self, job: &str) -> u32 {
-        self.done_tasks.get(job).map_or(0, |tasks| tasks.len() as u32)
+        self.finished_task_numbers.get(job).map_or(0, |tasks| tasks.len() as u32)
     }
 
     /// Whether a user was told that the job is done or cancelled.
--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -30,13 +30,13 @@
     pub types: Vec<MachineType>,
     /// Rented machines, by name.
     pub machines: BTreeMap<String, RentedMachine>,
-    /// Machines given for each rental request, so that a repeated request rents nothing more.
+    /// Machines rented for each rental request, so that a repeated request rents no more.
     requests: BTreeMap<String, Vec<String>>,
     /// Number of the next machine.
     next_serial: u32,
     /// Whether the cloud is unavailable.
     pub outage: bool,
-    /// Largest number of machines that can be rented at a time.
+    /// Largest number of machines that can be rented at the same time.
     pub capacity: u32,
     /// Machines that will never boot.
     pub never_boot: BTreeSet<String>,
@@ -57,7 +57,7 @@
             price: 1.0,
             spot_price: Some(0.4),
             boot_s: 10.0,
-            zones: zones.iter().map(|z| (*z).to_owned()).collect(),
+            zones: zones.iter().map(|zone| (*zone).to_owned()).collect(),
         };
         Cloud {
             types: vec![machine_type],
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Adds a machine of the first type that no controller requested, and returns its name.
+    /// Rents out a machine of the first type, even beyond the capacity, and returns its name.
     pub fn add_machine(&mut self, now: Duration, zone: &str, spot: bool) -> String {
         let name = format!("n-{:06}", self.next_serial);
         self.next_serial += 1;
@@ -109,15 +109,15 @@
                 CloudResponse::Released
             }
             CloudOp::List { after } => {
-                let rows = self.machines.iter().filter(|(name, _)| after.as_ref().is_none_or(|a| *name > a));
-                let mut machines = rows.map(|(name, m)| ListedMachine {
+                let rows = self.machines.iter().filter(|(name, _)| after.as_ref().is_none_or(|after| *name > after));
+                let mut machines = rows.map(|(name, machine)| ListedMachine {
                     id: name.clone(),
                     addr: name.clone(),
-                    kind: m.kind.clone(),
-                    zone: m.zone.clone(),
-                    spot: m.spot,
-                    phase: if m.booted { Phase::Running } else { Phase::Booting },
-                    age_s: (now - m.rented_at).as_secs_f64(),
+                    kind: machine.kind.clone(),
+                    zone: machine.zone.clone(),
+                    spot: machine.spot,
+                    phase: if machine.booted { Phase::Running } else { Phase::Booting },
+                    age_s: (now - machine.rented_at).as_secs_f64(),
                 });
                 let page = machines.by_ref().take(PAGE_SIZE).collect();
                 CloudResponse::Listing(Listing { machines: page, more: machines.next().is_some() })
--- a/crates/testkit/src/simulation.rs
+++ b/crates/testkit/src/simulation.rs
@@ -26,7 +26,7 @@
 const STEP: Duration = Duration::from_millis(10);
 /// One-way latency of a message.
 const NETWORK_LATENCY: Duration = Duration::from_millis(3);
-/// Time after the end of its wait at which the caller of a watch gives it up.
+/// Time for which the caller of a watch still waits for the response after the watch should have ended.
 const WATCH_TIMEOUT_SLACK: Duration = Duration::from_millis(1500);
 
 /// Something that happens at a scheduled time.
@@ -77,7 +77,7 @@
     start: Instant,
     /// Simulated time since the start.
     pub now: Duration,
-    /// The facts of the deployment, as the first node has them.
+    /// The facts of the deployment. Each node replaces the label and the peers by its own.
     facts: Facts,
     /// Facts by node that replace the deployment's facts at the node's next start, as during a rollout of settings.
     pub facts_overrides: BTreeMap<usize, Facts>,
@@ -162,7 +162,7 @@
     last_leader: Option<(usize, u64)>,
     /// Fencing tokens of all terms in which a node has led.
     pub terms: BTreeSet<u64>,
-    /// Whether two nodes ever held themselves to be the leader at the same time.
+    /// Whether two nodes ever considered themselves the leader at the same time.
     pub had_two_leaders: bool,
     /// Checks the responses that users receive.
     pub checker: Checker,
@@ -277,51 +277,51 @@
         for _ in 0..3 {
             simulation.node_processes.push(NodeProcess { node: None, incarnation: 0, next_tick: simulation.now });
         }
-        (0..3).for_each(|n| simulation.start_node(n));
+        (0..3).for_each(|node| simulation.start_node(node));
         simulation
     }
 
     /// Starts a node's process.
-    pub fn start_node(&mut self, n: usize) {
+    pub fn start_node(&mut self, node: usize) {
         self.serial += 1;
         let incarnation = self.serial;
         let label = |n: usize| format!("node-{n}");
-        let peers = (0..3).filter(|other| *other != n).map(label).collect();
-        let base = self.facts_overrides.get(&n).unwrap_or(&self.facts).clone();
-        let facts = Facts { label: label(n), peers, ..base };
-        let policy = self.policy_overrides.get(&n).unwrap_or(&self.policy).clone();
-        let node = Node::new(facts, policy, incarnation, self.clock());
-        self.node_processes[n] = NodeProcess { node: Some(node), incarnation, next_tick: self.now };
+        let peers = (0..3).filter(|other| *other != node).map(label).collect();
+        let base = self.facts_overrides.get(&node).unwrap_or(&self.facts).clone();
+        let facts = Facts { label: label(node), peers, ..base };
+        let policy = self.policy_overrides.get(&node).unwrap_or(&self.policy).clone();
+        let started_node = Node::new(facts, policy, incarnation, self.clock());
+        self.node_processes[node] = NodeProcess { node: Some(started_node), incarnation, next_tick: self.now };
     }
 
     /// Stops a node's process. Messages that it has sent stay in flight.
-    pub fn crash_node(&mut self, n: usize) {
-        self.open_direct_calls.remove(&n);
-        self.node_processes[n].node = None;
-        self.watches.retain(|w| w.node != n);
-        self.requesters.retain(|(node, _), _| *node != n);
+    pub fn crash_node(&mut self, node: usize) {
+        self.open_direct_calls.remove(&node);
+        self.node_processes[node].node = None;
+        self.watches.retain(|watch| watch.node != node);
+        self.requesters.retain(|(receiver, _), _| *receiver != node);
     }
 
-    /// The simulated clocks of the nodes.
+    /// Returns the simulated time, as the nodes' clocks show it.
     fn clock(&self) -> Now {
         Now { steady: self.start + self.now, wall_ms: 1_700_000_000_000 + self.now.as_millis() as u64 }
     }
 
     /// Returns the leader; of several, the one with the highest fencing token.
     pub fn leader(&self) -> Option<usize> {
-        let leaders =
-            (0..self.node_processes.len()).filter_map(|n| Some((self.node_processes[n].node.as_ref()?.token()?, n)));
-        leaders.max().map(|(_, n)| n)
+        let leaders = (0..self.node_processes.len())
+            .filter_map(|node| Some((self.node_processes[node].node.as_ref()?.token()?, node)));
+        leaders.max().map(|(_, node)| node)
     }
 
     /// Whether a node's process is running.
-    pub fn is_node_running(&self, n: usize) -> bool {
-        self.node_processes[n].node.is_some()
+    pub fn is_node_running(&self, node: usize) -> bool {
+        self.node_processes[node].node.is_some()
     }
 
-    /// Returns the fencing token of a node that leaders.
-    pub fn leader_token(&self, n: usize) -> Option<u64> {
-        self.node_processes[n].node.as_ref()?.token()
+    /// Returns a node's fencing token, if the node leads.
+    pub fn leader_token(&self, node: usize) -> Option<u64> {
+        self.node_processes[node].node.as_ref()?.token()
     }
 
     /// Schedules an event.
@@ -330,23 +330,23 @@
         self.events.insert((at, self.serial), event);
     }
 
-    /// Hands an input to a node and carries its outputs.
-    fn deliver(&mut self, n: usize, input: Input) {
+    /// Hands an input to a node and dispatches its outputs.
+    fn deliver(&mut self, node: usize, input: Input) {
         let now = self.clock();
-        let Some(node) = &mut self.node_processes[n].node else {
+        let Some(receiver) = &mut self.node_processes[node].node else {
             return;
         };
         let kind = input_kind(&input);
         let began = Instant::now();
-        let outputs = node.handle(now, input);
-        let spent = self.input_costs.entry((n, kind)).or_default();
+        let outputs = receiver.handle(now, input);
+        let spent = self.input_costs.entry((node, kind)).or_default();
         *spent = (spent.0 + 1, spent.1 + began.elapsed());
         for output in outputs {
-            self.dispatch_output(n, output);
+            self.dispatch_output(node, output);
         }
     }
 
-    /// Advances the simulated time, checking the invariants every `steps_per_check` steps.
+    /// Advances the simulated time by `time`, checking the invariants every `steps_per_check` steps.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -359,13 +359,13 @@
                 self.process_event(event);
             }
             self.advance_watches();
-            for n in 0..self.node_processes.len() {
-                if self.node_processes[n].next_tick <= self.now {
-                    self.node_processes[n].next_tick = self.now + Duration::from_millis(50);
-                    if let Some((share, tick_delay)) = self.processor_load.get(&n).copied() {
-                        self.deliver(n, Input::ProcessorLoad { share, tick_delay });
+            for node in 0..self.node_processes.len() {
+                if self.node_processes[node].next_tick <= self.now {
+                    self.node_processes[node].next_tick = self.now + Duration::from_millis(50);
+                    if let Some((share, tick_delay)) = self.processor_load.get(&node).copied() {
+                        self.deliver(node, Input::ProcessorLoad { share, tick_delay });
                     }
-                    self.deliver(n, Input::Tick);
+                    self.deliver(node, Input::Tick);
                 }
             }
             self.boot_due_machines();
@@ -390,7 +390,7 @@
             }
             let is_blocked = [&self.partitioned_from_store, &self.nodes_without_updates, &self.hung_watches]
                 .into_iter()
-                .any(|n| n.contains(&watch.node));
+                .any(|nodes| nodes.contains(&watch.node));
             if is_blocked || self.store.outage {
                 return true;
             }
@@ -412,17 +412,17 @@
 
     /// Records which nodes lead, and replays the recorded reports when the leader has changed.
     fn observe_leaders(&mut self) {
-        let tokens: Vec<u64> = (0..self.node_processes.len()).filter_map(|n| self.leader_token(n)).collect();
+        let tokens: Vec<u64> = (0..self.node_processes.len()).filter_map(|node| self.leader_token(node)).collect();
         self.had_two_leaders |= tokens.len() > 1;
         self.terms.extend(tokens);
-        let leader = self.leader().and_then(|n| Some((n, self.leader_token(n)?)));
+        let leader = self.leader().and_then(|node| Some((node, self.leader_token(node)?)));
         if leader.is_none() || leader == self.last_leader {
             return;
         }
-        let first = self.last_leader.is_none();
+        let is_first_leader = self.last_leader.is_none();
         let at = self.now + NETWORK_LATENCY + self.replay_reports_after.unwrap_or_default();
         self.last_leader = leader;
-        for (machine, report) in std::mem::take(&mut self.recorded_reports).into_iter().filter(|_| !first) {
+        for (machine, report) in std::mem::take(&mut self.recorded_reports).into_iter().filter(|_| !is_first_leader) {
             self.replayed_reports += 1;
             for node in 0..self.node_processes.len() {
                 let report = Box::new(report.clone());
@@ -466,7 +466,7 @@
     }
 }
 
-/// Name of an input's kind in `input_costs`.
+/// Returns the name of an input's kind in `input_costs`.
 fn input_kind(input: &Input) -> &'static str {
     match input {
         Input::Submit { .. } => "submit",
--- a/crates/testkit/src/simulation/checks.rs
+++ b/crates/testkit/src/simulation/checks.rs
@@ -11,9 +11,9 @@
 use crate::worker::Worker;
 
 impl Simulation {
-    /// Checks the recovery after the faults have ended. Users who ask every node about every accepted
-    /// job each five seconds get the job's state within 75 s. No job waits for 90 s while a suitable
-    /// machine has enough free resources and the job's team is within its quota.
+    /// Checks the recovery after the faults have ended. Users ask every node about every accepted job about
+    /// every five seconds, and get each job's state at least once in 75 s. No job waits for 90 s while a
+    /// suitable machine has enough free resources and the job's team is within its quota.
     pub fn check_recovered(&mut self) {
         let jobs = self.checker.accepted_jobs();
         let mut last_responses: BTreeMap<String, Duration> = jobs.iter().map(|job| (job.clone(), self.now)).collect();
@@ -37,9 +37,9 @@
                     }
                 }
             }
-            for (job, at) in &last_responses {
+            for (job, responded_at) in &last_responses {
                 assert!(
-                    self.now - *at < Duration::from_secs(75),
+                    self.now - *responded_at < Duration::from_secs(75),
                     "no request for the state of {job} got a 200 response for 75 s"
                 );
             }
@@ -67,17 +67,17 @@
         );
     }
 
-    /// Whether a task of the job is waiting that fits on some machine and within its team's quota.
+    /// Whether a task of the job waits although it fits on some machine and within its team's quota.
     fn could_start(&self, id: &str) -> bool {
         let spec = &self.specs[id];
         if self.checker.has_ended(id) || self.cancelled.contains_key(id) || self.checker.has_unfinished_dependencies(id)
         {
             return false;
         }
-        let job_of = |task: &str| task.split('/').next().and_then(|id| self.specs.get(id));
-        let hosted_specs = |w: &Worker| {
-            let active = w.tasks.iter().filter(|t| t.state != TaskState::Exited);
-            active.filter_map(|t| job_of(&t.name)).cloned().collect::<Vec<JobSpec>>()
+        let spec_of = |task: &str| task.split('/').next().and_then(|id| self.specs.get(id));
+        let hosted_specs = |worker: &Worker| {
+            let active = worker.tasks.iter().filter(|t| t.state != TaskState::Exited);
+            active.filter_map(|t| spec_of(&t.name)).cloned().collect::<Vec<JobSpec>>()
         };
         let active_specs: Vec<JobSpec> = self.workers.values().flat_map(hosted_specs).collect();
         let active_tasks = active_specs.iter().filter(|s| s.id == id).count() as u32;
@@ -85,21 +85,22 @@
         if active_tasks + finished >= spec.tasks {
             return false;
         }
-        let used: f64 = active_specs.iter().filter(|s| s.team == spec.team).map(|s| s.cpus).sum();
-        if used + spec.cpus > self.facts.teams[&spec.team].cpus_max + 1e-6 {
+        let team_cpus: f64 = active_specs.iter().filter(|s| s.team == spec.team).map(|s| s.cpus).sum();
+        if team_cpus + spec.cpus > self.facts.teams[&spec.team].cpus_max + 1e-6 {
             return false;
         }
-        let fits = |w: &Worker| {
-            let machine_type = self.cloud.types.iter().find(|t| t.name == w.kind);
-            let (cpus, memory) = machine_type.map_or((0.0, 0.0), |k| (k.cpus, k.memory_gb));
-            let (used_cpus, used_memory) =
-                hosted_specs(w).iter().fold((0.0, 0.0), |(c, m), s| (c + s.cpus, m + s.memory_gb));
+        let fits = |worker: &Worker| {
+            let machine_type = self.cloud.types.iter().find(|t| t.name == worker.kind);
+            let (cpus, memory) = machine_type.map_or((0.0, 0.0), |found| (found.cpus, found.memory_gb));
+            let (used_cpus, used_memory) = hosted_specs(worker)
+                .iter()
+                .fold((0.0, 0.0), |(cpus, memory), hosted| (cpus + hosted.cpus, memory + hosted.memory_gb));
             used_cpus + spec.cpus <= cpus + 1e-6
                 && used_memory + spec.memory_gb <= memory + 1e-6
-                && (spec.spot || !w.spot)
-                && spec.zone.as_ref().is_none_or(|zone| *zone == w.zone)
-                && !w.fails_all_tasks
-                && w.notice_s.is_none()
+                && (spec.spot || !worker.spot)
+                && spec.zone.as_ref().is_none_or(|zone| *zone == worker.zone)
+                && !worker.fails_all_tasks
+                && worker.notice_s.is_none()
         };
         !spec.one_zone && !spec.spread && self.workers.values().any(fits)
     }
@@ -121,9 +122,9 @@
                 *used_cpus.entry(&spec.team).or_default() += spec.cpus;
                 *tasks_by_zone.entry(id).or_default().entry(&worker.zone).or_default() += 1;
                 assert!(spec.spot || !worker.spot, "{} runs on a spot machine", task.name);
-                if let Some(since) = self.cancelled.get(id) {
+                if let Some(cancelled_at) = self.cancelled.get(id) {
                     assert!(
-                        self.now <= *since + self.facts.cancel_limit,
+                        self.now <= *cancelled_at + self.facts.cancel_limit,
                         "{} runs although its job was cancelled",
                         task.name
                     );
@@ -157,7 +158,7 @@
     /// Returns the running tasks of a job, each with its machine.
     pub fn running_tasks(&self, id: &str) -> Vec<(String, String)> {
         let tasks = self.running_on.iter().filter(|(task, _)| task.split('/').next() == Some(id));
-        tasks.flat_map(|(task, machines)| machines.iter().map(|m| (task.clone(), m.clone()))).collect()
+        tasks.flat_map(|(task, machines)| machines.iter().map(|machine| (task.clone(), machine.clone()))).collect()
     }
 
     /// Returns the number of placements of a job on a machine in the newest segment of the log.
--- a/crates/testkit/src/simulation/machines.rs
+++ b/crates/testkit/src/simulation/machines.rs
@@ -14,7 +14,7 @@
 impl Simulation {
     /// Boots a rented machine and starts its worker.
     pub(super) fn boot_machine(&mut self, name: &str) {
-        let rented = self.cloud.machines.get_mut(name).expect("rented");
+        let rented = self.cloud.machines.get_mut(name).expect("the machine is rented");
         rented.booted = true;
         let mut worker = Worker::new(name.into(), rented.zone.clone(), rented.spot, rented.kind.clone(), self.now);
         worker.task_duration_s = self.task_duration_s;
@@ -32,8 +32,10 @@
             .cloud
             .machines
             .iter()
-            .filter(|(name, m)| {
-                !m.booted && !self.cloud.never_boot.contains(*name) && self.now >= m.rented_at + self.boot_time
+            .filter(|(name, machine)| {
+                !machine.booted
+                    && !self.cloud.never_boot.contains(*name)
+                    && self.now >= machine.rented_at + self.boot_time
             })
             .map(|(name, _)| name.clone())
             .collect();
@@ -45,7 +47,7 @@
     /// Advances the workers' tasks and sends the reports that are due.
     pub(super) fn advance_workers(&mut self) {
         let (now, nodes) = (self.now, self.node_processes.len());
-        let (lease, period) = (self.facts.worker_lease, self.facts.report_interval);
+        let (lease, report_interval) = (self.facts.worker_lease, self.facts.report_interval);
         let mut reports = Vec::new();
         self.frozen_until.retain(|_, until| *until > now);
         self.interruptions.retain(|_, interruption| interruption.until > now);
@@ -62,8 +64,8 @@
                 self.failed_tasks += worker.failed_tasks().saturating_sub(failed_before);
                 worker.next_report_at = worker.next_report_at.min(now + Duration::from_millis(500));
             }
-            if let Some((_, sent, _)) = worker.pending_report
-                && now > sent + REPORT_TIMEOUT
+            if let Some((_, sent_at, _)) = worker.pending_report
+                && now > sent_at + REPORT_TIMEOUT
             {
                 worker.pending_report = None;
                 (worker.node, worker.next_report_at) = ((worker.node + 1) % nodes, now + Duration::from_secs(1));
@@ -71,7 +73,7 @@
             if worker.pending_report.is_none() && worker.next_report_at <= now {
                 self.serial += 1;
                 worker.pending_report = Some((self.serial, now, worker.session));
-                worker.next_report_at = now + period;
+                worker.next_report_at = now + report_interval;
                 let report = Box::new(worker.report());
                 reports.push(Event::Report {
                     node: worker.node,
--- a/crates/testkit/src/simulation/network.rs
+++ b/crates/testkit/src/simulation/network.rs
@@ -16,7 +16,7 @@
 const MAX_WORKER_MESSAGE_BYTES: usize = 64 * 1024;
 
 impl Simulation {
-    /// Carries a request or response that a node sends.
+    /// Sends a node's output on its way: a response, or a request to another component.
     pub(super) fn dispatch_output(&mut self, node: usize, output: Output) {
         match output {
             Output::Response { request_id, response } => self.handle_response(node, request_id, response),
@@ -63,7 +63,11 @@
                 if !self.partitioned_from_workers.contains(&node)
                     && !self.partitioned_links.contains(&(node, machine.clone())) =>
             {
-                assert!(response.body.len() <= MAX_WORKER_MESSAGE_BYTES, "{} bytes for {machine}", response.body.len());
+                assert!(
+                    response.body.len() <= MAX_WORKER_MESSAGE_BYTES,
+                    "a response of {} bytes to {machine}",
+                    response.body.len()
+                );
                 self.schedule(self.now + NETWORK_LATENCY, Event::ReportResponse { machine, id, response });
             }
             Some(Requester::Relay { node: requester, incarnation, call }) => {
@@ -82,7 +86,7 @@
         }
     }
 
-    /// Carries a node's call to the state service.
+    /// Sends a node's call to the state service.
     fn call_store(&mut self, node: usize, call: CallId, op: StoreOp) {
         let (now, incarnation) = (self.now, self.node_processes[node].incarnation);
         let is_watch = matches!(op, StoreOp::Watch { .. });
@@ -124,14 +128,14 @@
         }
     }
 
-    /// Carries a direct call from a node to a worker.
+    /// Sends a direct call from a node to a worker.
     fn call_worker(&mut self, node: usize, call: CallId, machine: String, orders: Orders) {
         let (now, incarnation) = (self.now, self.node_processes[node].incarnation);
         let bytes = serde_json::to_vec(&orders).expect("orders encode").len();
         assert!(bytes <= MAX_WORKER_MESSAGE_BYTES, "a call of {bytes} bytes to {machine}");
-        let calls = self.open_direct_calls.entry(node).or_default();
-        *calls += 1;
-        self.peak_direct_calls = self.peak_direct_calls.max(*calls);
+        let open_calls = self.open_direct_calls.entry(node).or_default();
+        *open_calls += 1;
+        self.peak_direct_calls = self.peak_direct_calls.max(*open_calls);
         let unreachable = self.partitioned_links.contains(&(node, machine.clone()))
             || self.partitioned_machines.contains(&machine)
             || self.lost_inbound.contains(&machine)
@@ -152,7 +156,7 @@
         }
     }
 
-    /// Carries reports that a node relays to the one labelled `label`.
+    /// Sends reports that a node relays to the node with the given label.
     fn relay_reports(&mut self, node: usize, call: CallId, label: &str, relay: RelayRequest) {
         let no_response = Input::RelayResponse { call, outcome: Outcome::Unknown };
         let Some((other, request_id)) = self.peer_request(node, label) else {
@@ -164,7 +168,7 @@
         let incarnation = self.node_processes[node].incarnation;
         self.requesters.insert((other, request_id), Requester::Relay { node, incarnation, call });
         self.schedule_input(self.now + NETWORK_LATENCY, other, Input::Relay { request_id, relay });
-        // The response may be lost with the other node.
+        // If the other node crashes before it responds, the call times out. After a response this has no effect.
         self.schedule_input(self.now + RELAY_TIMEOUT, node, no_response);
     }
 
@@ -280,18 +284,18 @@
         let Some(worker) = self.workers.get_mut(machine) else {
             return;
         };
-        let Some((_, sent, session)) = worker.pending_report.filter(|(pending_id, ..)| *pending_id == id) else {
+        let Some((_, sent_at, session)) = worker.pending_report.filter(|(pending_id, ..)| *pending_id == id) else {
             return;
         };
         worker.pending_report = None;
         match response.status {
             200 => {
                 let orders: Orders = serde_json::from_slice(&response.body).expect("orders are well formed");
-                worker.handle_report_response(now, sent, session, &orders);
+                worker.handle_report_response(now, sent_at, session, &orders);
             }
             421 => {
                 let redirect: ReportRedirect = serde_json::from_slice(&response.body).expect("a 421 is well formed");
-                match redirect.report_to.and_then(|l| l.trim_start_matches("node-").parse().ok()) {
+                match redirect.report_to.and_then(|label| label.trim_start_matches("node-").parse().ok()) {
                     Some(node) => (worker.node, worker.next_report_at) = (node, now),
                     None => {
                         (worker.node, worker.next_report_at) = ((worker.node + 1) % nodes, now + Duration::from_secs(1))
--- a/crates/testkit/src/store.rs
+++ b/crates/testkit/src/store.rs
@@ -37,7 +37,7 @@
     pub reports_one_failed_condition: bool,
     /// Size of the largest value written so far.
     pub largest_value_bytes: usize,
-    /// Number of rows in a page of a list.
+    /// Largest number of rows in a page of a list.
     pub page_size: usize,
     /// Number of changes kept for watches; older ones are compacted.
     pub max_log_events: usize,
@@ -65,13 +65,17 @@
             return false;
         }
         let is_expired = |expires_at: Duration| expires_at <= now;
-        let expired: Vec<u64> =
-            self.leases.iter().filter(|(_, (_, expires_at))| is_expired(*expires_at)).map(|(l, _)| *l).collect();
-        let before = self.revision;
+        let expired: Vec<u64> = self
+            .leases
+            .iter()
+            .filter(|(_, (_, expires_at))| is_expired(*expires_at))
+            .map(|(lease, _)| *lease)
+            .collect();
+        let revision_before = self.revision;
         for lease in expired {
             self.end_lease(lease);
         }
-        self.revision > before
+        self.revision > revision_before
     }
 
     /// Ends an outage. All leases get their full time to live again.
@@ -86,7 +90,7 @@
     fn end_lease(&mut self, lease: u64) {
         self.leases.remove(&lease);
         let keys: Vec<String> =
-            self.rows.iter().filter(|(_, row)| row.2 == Some(lease)).map(|(k, _)| k.clone()).collect();
+            self.rows.iter().filter(|(_, row)| row.2 == Some(lease)).map(|(key, _)| key.clone()).collect();
         if !keys.is_empty() {
             self.revision += 1;
         }
@@ -102,9 +106,11 @@
         }
     }
 
-    /// Returns the response to a watch, if there are changes after the given revision or these were compacted.
+    /// Returns the response to a watch if there are changes after the given revision, or if they may have been
+    /// compacted.
     pub fn watch(&self, prefix: &str, after: u64) -> Option<StoreResponse> {
-        if self.log.len() >= self.max_log_events && self.log.first().is_some_and(|(r, _)| *r > after + 1) {
+        if self.log.len() >= self.max_log_events && self.log.first().is_some_and(|(revision, _)| *revision > after + 1)
+        {
             return Some(StoreResponse::Compacted);
         }
         let events: Vec<Event> = self
@@ -182,8 +188,12 @@
             }
         }
         let version = |key: &str| self.rows.get(key).map_or(0, |row| row.1);
-        let mut failed: Vec<String> =
-            txn.conditions.iter().filter(|c| version(&c.key) != c.version).map(|c| c.key.clone()).collect();
+        let mut failed: Vec<String> = txn
+            .conditions
+            .iter()
+            .filter(|condition| version(&condition.key) != condition.version)
+            .map(|condition| condition.key.clone())
+            .collect();
         if self.reports_one_failed_condition {
             failed.truncate(1);
         }
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -13,9 +13,9 @@
     pub attempt: u64,
     /// Its current state.
     pub state: TaskState,
-    /// Why it has exited.
+    /// Why it exited, once it has.
     pub cause: Option<Cause>,
-    /// When it leaves its current state without an order.
+    /// When its current state ends, if no order ends it earlier.
     pub state_ends_at: Duration,
 }
 
@@ -33,7 +33,7 @@
     pub session: u64,
     /// Number of the last report.
     seq: u64,
-    /// The highest fencing token seen.
+    /// The highest fencing token received.
     pub token: u64,
     /// All tasks on the machine.
     pub tasks: Vec<Task>,
@@ -94,11 +94,11 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|t| TaskReport {
-                    task: t.name.clone(),
-                    attempt: t.attempt,
-                    state: t.state,
-                    cause: t.cause,
+                .map(|task| TaskReport {
+                    task: task.name.clone(),
+                    attempt: task.attempt,
+                    state: task.state,
+                    cause: task.cause,
                     saved: None,
                 })
                 .collect(),
@@ -110,8 +110,9 @@
         self.tasks.iter().filter(|t| t.cause == Some(Cause::Error)).count() as u64
     }
 
-    /// Advances to a time: fetches of images complete, tasks exit, and all tasks are dropped if the lease has
-    /// expired. Returns whether anything changed. Tasks for which `is_service` holds run until they are stopped.
+    /// Advances the worker to the time `now`: fetches of images complete, tasks exit, and all tasks are dropped if
+    /// the lease has expired. Tasks for which `is_service` holds run until they are stopped. Returns whether
+    /// anything changed.
     pub fn advance(&mut self, now: Duration, lease: Duration, is_service: impl Fn(&str) -> bool) -> bool {
         let mut changed = false;
         if now > self.lease_start + lease {
@@ -146,13 +147,13 @@
         changed
     }
 
-    /// Handles the response to a report. It is ignored if its token is too low or the session is over.
-    pub fn handle_report_response(&mut self, now: Duration, sent: Duration, session: u64, orders: &Orders) {
+    /// Handles the response to a report. It is ignored if its token is too low or the report's session is over.
+    pub fn handle_report_response(&mut self, now: Duration, sent_at: Duration, session: u64, orders: &Orders) {
         if orders.token < self.token || session != self.session {
             return;
         }
         self.token = orders.token;
-        self.lease_start = self.lease_start.max(sent);
+        self.lease_start = self.lease_start.max(sent_at);
         self.execute_orders(now, &orders.orders);
     }
 
@@ -184,12 +185,12 @@
                     self.tasks.push(Task { name: task.clone(), attempt: *attempt, state, cause, state_ends_at });
                 }
                 Order::Stop { task, attempt, grace_s } => {
-                    for t in self.tasks.iter_mut().filter(|t| t.name == *task && t.attempt == *attempt) {
-                        if t.state == TaskState::Running && *grace_s > 0.0 {
-                            t.state = TaskState::Saving;
-                            t.state_ends_at = now + Duration::from_secs_f64(*grace_s);
-                        } else if t.state != TaskState::Exited {
-                            (t.state, t.cause) = (TaskState::Exited, Some(Cause::Stopped));
+                    for stopped_task in self.tasks.iter_mut().filter(|t| t.name == *task && t.attempt == *attempt) {
+                        if stopped_task.state == TaskState::Running && *grace_s > 0.0 {
+                            stopped_task.state = TaskState::Saving;
+                            stopped_task.state_ends_at = now + Duration::from_secs_f64(*grace_s);
+                        } else if stopped_task.state != TaskState::Exited {
+                            (stopped_task.state, stopped_task.cause) = (TaskState::Exited, Some(Cause::Stopped));
                         }
                     }
                 }
