--- a/crates/testkit/examples/loopback.rs
+++ b/crates/testkit/examples/loopback.rs
@@ -18,10 +18,11 @@
 use support::{NODE_COUNT, Setup, Testbed};
 use tokio::time::sleep;
 
-/// Runs the fleet for some seconds with `load` new jobs per second, printing the usage every 20 s.
+/// Runs the fleet for some seconds with `load` new jobs per second, and prints the resource usage every 20 s.
 async fn run_load(seconds: u64, machines: u32, load: f64, task_s: f64) {
     let setup = Setup {
-        // A report each 1.5 s up to a thousand machines, fewer beyond: the fakes run on one thread.
+        // Workers report every 1.5 s on up to a thousand machines, and less often on more, since all fakes run
+        // on one thread.
         report_interval: Duration::from_millis(1500) * machines.div_ceil(1000),
         worker_lease: Duration::from_secs(20),
         task_duration_s: task_s,
--- a/crates/testkit/examples/profile.rs
+++ b/crates/testkit/examples/profile.rs
@@ -1,5 +1,5 @@
-//! Simulates a large fleet and prints the processing time of the core's inputs, by node and kind
-//! of input: a start before profiling by function.
+//! Simulates a large fleet and prints the processing time of the core's inputs, by node and kind of
+//! input. It shows which inputs are worth profiling by function.
 //!
 //!     cargo run --release -p rushyoke-testkit --example profile -- [SECONDS] [LOAD] [MACHINES]
 
@@ -85,16 +85,19 @@
             simulation.submit(id as usize % 3, spec);
         }
         for _ in 0..8 {
-            let queried = format!("wk-{:06}", random.below(u64::from(id.max(1))) + 1);
-            simulation.status(random.below(3) as usize, &queried);
+            let queried_job = format!("wk-{:06}", random.below(u64::from(id.max(1))) + 1);
+            simulation.status(random.below(3) as usize, &queried_job);
         }
         simulation.run(Duration::from_secs(1));
     }
-    let time = simulation.now.as_secs_f64();
+    let simulated_s = simulation.now.as_secs_f64();
     println!("{} jobs, {} machines, {} tasks started", id, simulation.workers.len(), simulation.started_tasks);
-    println!("{:.1} writes per second", simulation.store.writes as f64 / time);
+    println!("{:.1} writes per second", simulation.store.writes as f64 / simulated_s);
     for ((node, kind), (count, time_spent)) in &simulation.input_costs {
-        let ms_per_second = time_spent.as_secs_f64() / time * 1000.0;
-        println!("node {node} {kind:>14}: {:8.1} per second, {ms_per_second:7.3} ms per second", *count as f64 / time);
+        let ms_per_second = time_spent.as_secs_f64() / simulated_s * 1000.0;
+        println!(
+            "node {node} {kind:>14}: {:8.1} per second, {ms_per_second:7.3} ms per second",
+            *count as f64 / simulated_s
+        );
     }
 }
--- a/crates/testkit/examples/spread.rs
+++ b/crates/testkit/examples/spread.rs
@@ -4,8 +4,8 @@
 //!     cargo build --release
 //!     cargo run --release -p rushyoke-testkit --example spread -- [RUNS] [MACHINES] [FOLDER]
 //!
-//! Writes `spread.json` and plots into FOLDER. A fifth of the machines is booted when the burst comes and
-//! is filled by it; the others boot, idle, a little later. A linear program computes how far the fleet is
+//! Writes `spread.json` and plots into FOLDER. The burst fills a fifth of the machines, which are running when
+//! it arrives. The others boot later and are idle at first. A linear program computes how far the fleet is
 //! from the most even distribution that is possible without moving services.
 
 mod support;
@@ -33,21 +33,21 @@
 const TASKS_PER_SERVICE: u32 = 3;
 /// Number of tasks of a job of the burst.
 const TASKS_PER_BURST_JOB: u32 = 60;
-/// Duration of the burst's tasks: none ends during the observation.
+/// Duration of tasks, in seconds: none ends during the observation.
 const TASK_S: f64 = 400.0;
 /// Time from the start of the controllers until the first job.
 const STARTUP_TIME: Duration = Duration::from_secs(12);
-/// Time from the burst until the other machines boot: longer than a burst may be held back.
-const CROWDED_TIME: Duration = Duration::from_secs(34);
+/// Time from the burst until the other machines boot. It is longer than a burst may be held back.
+const SCALE_UP_DELAY: Duration = Duration::from_secs(34);
 /// Time for which the fleet is observed after the other machines have booted.
 const OBSERVATION_TIME: Duration = Duration::from_secs(62);
-/// Time between two jobs of the other team during the observation.
-const TRICKLE_INTERVAL: Duration = Duration::from_secs(5);
-/// Number of tasks of such a job.
-const TASKS_PER_TRICKLE_JOB: u32 = 4;
-/// Largest share of the tasks that may have to move to the most even distribution for the fleet to count as
-/// even.
-const EVEN_DISTANCE_SHARE: f64 = 0.05;
+/// Time between two jobs of the other team, which arrive during the observation.
+const OTHER_TEAM_JOB_INTERVAL: Duration = Duration::from_secs(5);
+/// Number of tasks of a job of the other team.
+const TASKS_PER_OTHER_TEAM_JOB: u32 = 4;
+/// The fleet counts as even while at most this share of its tasks would have to move to reach the most even
+/// distribution.
+const MAX_EVEN_DISTANCE_SHARE: f64 = 0.05;
 
 /// The evenness of the fleet at one moment.
 #[derive(Clone, Serialize)]
@@ -97,6 +97,7 @@
 }
 
 impl StartTimes {
+    /// Summarizes the times of the jobs that started, out of `jobs` submitted ones.
     fn of(jobs: usize, mut times_s: Vec<f64>) -> StartTimes {
         times_s.sort_by(f64::total_cmp);
         let median_s = times_s.get(times_s.len() / 2).copied().unwrap_or(f64::NAN);
@@ -111,15 +112,15 @@
     fixed: usize,
 }
 
-/// Follows the machine of each task and the starts of the burst's jobs.
+/// Tracks the machine of each task and the starts of the burst's jobs.
 #[derive(Default)]
 struct TaskTracker {
     /// Machine of each task.
     machines: BTreeMap<String, String>,
     /// Number of moves of each task.
-    moves: BTreeMap<String, usize>,
+    move_counts: BTreeMap<String, usize>,
     /// When each job of the burst was submitted.
-    submitted: BTreeMap<String, Instant>,
+    submitted_at: BTreeMap<String, Instant>,
     /// Time from its submission until all tasks of a job ran.
     start_times_s: BTreeMap<String, f64>,
 }
@@ -130,22 +131,22 @@
         for (task, machine) in placements {
             let previous = self.machines.insert(task.clone(), machine.clone());
             if previous.is_some_and(|previous| previous != *machine) {
-                *self.moves.entry(task.clone()).or_default() += 1;
+                *self.move_counts.entry(task.clone()).or_default() += 1;
             }
         }
         let mut running: BTreeMap<&str, u32> = BTreeMap::new();
         for job in placements.keys().filter_map(|task| task.split('/').next()) {
             *running.entry(job).or_default() += 1;
         }
-        for (job, at) in &self.submitted {
+        for (job, submitted_at) in &self.submitted_at {
             if running.get(job.as_str()) == Some(&TASKS_PER_BURST_JOB) {
-                self.start_times_s.entry(job.clone()).or_insert_with(|| at.elapsed().as_secs_f64());
+                self.start_times_s.entry(job.clone()).or_insert_with(|| submitted_at.elapsed().as_secs_f64());
             }
         }
     }
 }
 
-/// Whether a task belongs to a service: services have the lowest job numbers.
+/// Whether a task belongs to a service. Services have the lowest job numbers.
 fn is_service(task: &str) -> bool {
     let id = task.trim_start_matches("wk-").split('/').next().and_then(|id| id.parse().ok()).unwrap_or(u32::MAX);
     id < SERVICE_COUNT
@@ -209,9 +210,9 @@
     }
     let all: Expression = movable_tasks.iter().sum();
     model = model.with(all.eq(movable));
-    let best = model.solve().map_or(f64::NAN, |solution| solution.eval(&total));
+    let smallest = model.solve().map_or(f64::NAN, |solution| solution.eval(&total));
     let current: f64 = loads.iter().map(|load| ((load.movable + load.fixed) as f64 - mean).max(0.0)).sum();
-    current - best
+    current - smallest
 }
 
 /// Waits for some time, recording the placements.
@@ -224,15 +225,15 @@
 }
 
 /// Submits a job of the other team. Returns the time until all its tasks run, if they do within 60 s.
-async fn start_time_of_job(testbed: Rc<Testbed>, id: u32) -> Option<f64> {
-    let spec = JobSpec { team: "blue".into(), estimate_s: TASK_S, spot: false, ..job(id, TASKS_PER_TRICKLE_JOB) };
+async fn measure_job_start(testbed: Rc<Testbed>, id: u32) -> Option<f64> {
+    let spec = JobSpec { team: "blue".into(), estimate_s: TASK_S, spot: false, ..job(id, TASKS_PER_OTHER_TEAM_JOB) };
     let name = spec.id.clone();
     let started_at = Instant::now();
     tokio::task::spawn_local(testbed.clone().run_user(id as usize % NODE_COUNT, spec));
     while started_at.elapsed() < Duration::from_secs(60) {
         sleep(Duration::from_millis(100)).await;
         let running = current_placements(&testbed).keys().filter(|task| task.split('/').next() == Some(&name)).count();
-        if running == TASKS_PER_TRICKLE_JOB as usize {
+        if running == TASKS_PER_OTHER_TEAM_JOB as usize {
             return Some(started_at.elapsed().as_secs_f64());
         }
     }
@@ -274,10 +275,10 @@
             spot: false,
             ..job(100 + id, TASKS_PER_BURST_JOB)
         };
-        tracker.submitted.insert(spec.id.clone(), Instant::now());
+        tracker.submitted_at.insert(spec.id.clone(), Instant::now());
         submit(&testbed, spec, id as usize % NODE_COUNT).await;
     }
-    observe(&testbed, &mut tracker, CROWDED_TIME).await;
+    observe(&testbed, &mut tracker, SCALE_UP_DELAY).await;
     let services_before: BTreeSet<(String, String)> =
         current_placements(&testbed).into_iter().filter(|(task, _)| is_service(task)).collect();
     let (requests_before, changes_before) = (testbed.store.borrow().requests, testbed.store.borrow().revision);
@@ -298,9 +299,9 @@
     while started_at.elapsed() < OBSERVATION_TIME {
         let at = started_at.elapsed();
         if at >= next_job_at {
-            next_job_at += TRICKLE_INTERVAL;
+            next_job_at += OTHER_TEAM_JOB_INTERVAL;
             other_jobs
-                .push(tokio::task::spawn_local(start_time_of_job(testbed.clone(), 1000 + other_jobs.len() as u32)));
+                .push(tokio::task::spawn_local(measure_job_start(testbed.clone(), 1000 + other_jobs.len() as u32)));
         }
         fleet_loads.push((at, loads(&testbed)));
         observe(&testbed, &mut tracker, Duration::from_secs(1)).await;
@@ -325,10 +326,10 @@
         tasks,
         even_after_s: even_after(&samples, tasks),
         samples,
-        moves: tracker.moves.values().sum(),
-        max_moves_per_task: tracker.moves.values().copied().max().unwrap_or(0),
+        moves: tracker.move_counts.values().sum(),
+        max_moves_per_task: tracker.move_counts.values().copied().max().unwrap_or(0),
         services_restarted: services_before.difference(&services_after).count(),
-        burst: StartTimes::of(tracker.submitted.len(), tracker.start_times_s.into_values().collect()),
+        burst: StartTimes::of(tracker.submitted_at.len(), tracker.start_times_s.into_values().collect()),
         other_team: StartTimes::of(jobs, other_times_s),
         store_requests,
         store_changes,
@@ -336,12 +337,12 @@
     }
 }
 
-/// Returns the time at which the fleet became even for the rest of the samples.
+/// Returns the time of the sample from which on the fleet was even, if it was even in the last one.
 fn even_after(samples: &[Sample], tasks: usize) -> Option<f64> {
-    let max_distance = EVEN_DISTANCE_SHARE * tasks as f64;
+    let max_distance = MAX_EVEN_DISTANCE_SHARE * tasks as f64;
     let last_uneven = samples.iter().rposition(|sample| sample.distance > max_distance);
-    let first = last_uneven.map_or(0, |index| index + 1);
-    samples.get(first).map(|sample| sample.at_s)
+    let first_even = last_uneven.map_or(0, |index| index + 1);
+    samples.get(first_even).map(|sample| sample.at_s)
 }
 
 /// Prints the results of a run.
@@ -400,7 +401,7 @@
 }
 
 /// Writes the policy file of a run. It keeps idle machines, so that tasks can move to them.
-fn policy(folder: &Path, rebalancing: bool) -> PathBuf {
+fn write_policy(folder: &Path, rebalancing: bool) -> PathBuf {
     let file = folder.join(format!("policy-{rebalancing}.yaml"));
     let text = format!("headroom_machines: 1000\nservice_reserve: 0\nbalance:\n  enabled: {rebalancing}\n");
     std::fs::write(&file, text).expect("the folder can be written to");
@@ -426,7 +427,7 @@
             teams: vec![("red", cpus / 20.0, cpus), ("blue", cpus / 20.0, cpus), ("green", cpus / 20.0, cpus)],
             max_sockets: 1200.max(machines as usize * 3),
             max_memory_mb: 64.0 + f64::from(machines) / 8.0,
-            policy_file: Some(policy(&folder, rebalancing)),
+            policy_file: Some(write_policy(&folder, rebalancing)),
         };
         let run = support::block_on(run_once(setup, rebalancing));
         print(&run);
--- a/crates/testkit/examples/support/mod.rs
+++ b/crates/testkit/examples/support/mod.rs
@@ -69,8 +69,8 @@
     started_at: Instant,
     /// The fake state service.
     pub store: RefCell<Store>,
-    /// Notified at each change of the store.
-    changed: tokio::sync::Notify,
+    /// Notified of each change in the store.
+    store_changed: tokio::sync::Notify,
     /// The fake cloud.
     pub cloud: RefCell<Cloud>,
     /// The fake workers, by machine.
@@ -93,7 +93,7 @@
 /// Returns a response with a JSON body.
 fn json_response(status: u16, body: impl serde::Serialize) -> Response<Full<Bytes>> {
     let body = Bytes::from(serde_json::to_vec(&body).expect("responses encode"));
-    Response::builder().status(status).body(Full::new(body)).expect("a fixed head")
+    Response::builder().status(status).body(Full::new(body)).expect("the head is valid")
 }
 
 /// Returns the address at which users and workers reach a controller.
@@ -103,15 +103,15 @@
 
 /// Returns the address of a machine's worker.
 fn machine_address(machine: &str) -> SocketAddr {
-    let serial: u32 = machine.trim_start_matches("n-").parse().expect("a machine's name");
+    let serial: u32 = machine.trim_start_matches("n-").parse().expect("a machine's name ends in a number");
     SocketAddr::from(([127, 1, (serial / 250) as u8, (serial % 250 + 1) as u8], 9000))
 }
 
 /// Serves HTTP requests at an address with a handler.
-async fn serve<F, W>(addr: SocketAddr, testbed: Rc<Testbed>, handler: F)
+async fn serve<F, Fut>(addr: SocketAddr, testbed: Rc<Testbed>, handler: F)
 where
-    F: Fn(Rc<Testbed>, Request<Incoming>) -> W + Clone + 'static,
-    W: Future<Output = Response<Full<Bytes>>> + 'static,
+    F: Fn(Rc<Testbed>, Request<Incoming>) -> Fut + Clone + 'static,
+    Fut: Future<Output = Response<Full<Bytes>>> + 'static,
 {
     let listener = TcpListener::bind(addr).await.expect("the address is free");
     loop {
@@ -129,7 +129,7 @@
 }
 
 /// Returns a parameter of the request's query, or an empty string.
-fn query(request: &Request<Incoming>, name: &str) -> String {
+fn query_parameter(request: &Request<Incoming>, name: &str) -> String {
     let pairs = request.uri().query().unwrap_or_default().split('&').filter_map(|pair| pair.split_once('='));
     pairs.filter(|(key, _)| *key == name).map(|(_, value)| value.to_owned()).next().unwrap_or_default()
 }
@@ -144,7 +144,7 @@
             setup,
             started_at: Instant::now(),
             store: RefCell::new(Store::new()),
-            changed: tokio::sync::Notify::new(),
+            store_changed: tokio::sync::Notify::new(),
             cloud: RefCell::new(cloud),
             workers: RefCell::default(),
             array_specs: RefCell::default(),
@@ -153,14 +153,23 @@
             user_request_count: Cell::new(0),
             partitioned_zones: RefCell::default(),
         });
-        tokio::task::spawn_local(serve(STORE_ADDRESS.parse().expect("fixed"), testbed.clone(), Testbed::serve_store));
-        tokio::task::spawn_local(serve(CLOUD_ADDRESS.parse().expect("fixed"), testbed.clone(), Testbed::serve_cloud));
+        tokio::task::spawn_local(serve(
+            STORE_ADDRESS.parse().expect("the address is valid"),
+            testbed.clone(),
+            Testbed::serve_store,
+        ));
+        tokio::task::spawn_local(serve(
+            CLOUD_ADDRESS.parse().expect("the address is valid"),
+            testbed.clone(),
+            Testbed::serve_cloud,
+        ));
         tokio::task::spawn_local(testbed.clone().boot_machines());
         sleep(Duration::from_millis(100)).await;
         testbed
     }
 
-    /// Starts a controller's process, with the environment variables `WRAP` and `PROGRAM` if they are set.
+    /// Starts a controller's process. The environment variables `WRAP` and `PROGRAM` replace its command line in part,
+    /// as the `loopback` example describes.
     pub fn start_controller(&self, node: usize) -> Child {
         let file = std::env::temp_dir().join(format!("rushyoke-loopback-{node}.toml"));
         std::fs::write(&file, settings(node, &self.setup)).expect("a file can be written");
@@ -184,12 +193,12 @@
     /// Handles a request to the state service.
     async fn serve_store(self: Rc<Self>, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let path = request.uri().path().to_owned();
-        let (prefix, since) = (query(&request, "starts"), query(&request, "since"));
+        let (prefix, since) = (query_parameter(&request, "starts"), query_parameter(&request, "since"));
         if path == "/changes" {
-            let time_limit = Duration::from_millis(query(&request, "block_ms").parse().unwrap_or(0));
+            let time_limit = Duration::from_millis(query_parameter(&request, "block_ms").parse().unwrap_or(0));
             let (after, until) = (since.parse().unwrap_or(0), Instant::now() + time_limit);
             loop {
-                let changed = self.changed.notified();
+                let changed = self.store_changed.notified();
                 let response = self.store.borrow().watch(&prefix, after);
                 match response {
                     Some(StoreResponse::Changes(changes)) => return json_response(200, changes),
@@ -203,32 +212,32 @@
             }
         }
         let parts: Vec<&str> = path.trim_start_matches('/').splitn(3, '/').collect();
-        let lease = |n: usize| parts.get(n).and_then(|id| id.parse().ok()).unwrap_or(0);
+        let lease_id = |n: usize| parts.get(n).and_then(|id| id.parse().ok()).unwrap_or(0);
         let op = match (request.method().as_str(), parts.as_slice()) {
             ("GET", ["kv"]) => StoreOp::List { prefix, after: since },
             ("GET", ["kv", ..]) => StoreOp::Get(path.trim_start_matches("/kv/").into()),
-            ("DELETE", _) => StoreOp::EndLease(lease(1)),
-            ("POST", ["leases", _, "touch"]) => StoreOp::RenewLease(lease(1)),
+            ("DELETE", _) => StoreOp::EndLease(lease_id(1)),
+            ("POST", ["leases", _, "touch"]) => StoreOp::RenewLease(lease_id(1)),
             _ => {
                 let body = request.into_body().collect().await.expect("a body").to_bytes();
                 if path == "/txn" {
                     StoreOp::Txn(serde_json::from_slice::<Txn>(&body).expect("a transaction"))
                 } else {
-                    let new: NewLease = serde_json::from_slice(&body).expect("a lease");
-                    StoreOp::NewLease { ttl_ms: new.ttl_ms }
+                    let new_lease: NewLease = serde_json::from_slice(&body).expect("a lease");
+                    StoreOp::NewLease { ttl_ms: new_lease.ttl_ms }
                 }
             }
         };
-        let (before, response, after) = {
+        let (revision_before, response, revision) = {
             let mut store = self.store.borrow_mut();
             (store.revision, store.execute(self.now(), &op), store.revision)
         };
-        if after > before {
-            self.changed.notify_waiters();
+        if revision > revision_before {
+            self.store_changed.notify_waiters();
         }
         match response {
             StoreResponse::Item(Some(item)) => json_response(200, item),
-            StoreResponse::Item(None) => json_response(404, json!({"ledger": after})),
+            StoreResponse::Item(None) => json_response(404, json!({"ledger": revision})),
             StoreResponse::Page(page) => json_response(200, page),
             StoreResponse::Committed(revision) => json_response(200, Committed { revision }),
             StoreResponse::ConditionsFailed(failed) => json_response(409, Refused { failed }),
@@ -241,7 +250,7 @@
     /// Handles a request to the cloud.
     async fn serve_cloud(self: Rc<Self>, request: Request<Incoming>) -> Response<Full<Bytes>> {
         let path = request.uri().path().to_owned();
-        let since = query(&request, "since");
+        let since = query_parameter(&request, "since");
         let body = request.into_body().collect().await.expect("a body").to_bytes();
         let op = match path.as_str() {
             "/flavors" => CloudOp::Types,
@@ -257,7 +266,7 @@
             CloudResponse::Types(types) => json_response(200, MachineTypes { types }),
             CloudResponse::Rented(machines) => json_response(200, MachineNames { machines }),
             CloudResponse::Listing(mut listing) => {
-                listing.machines.iter_mut().for_each(|m| m.addr = machine_address(&m.id).to_string());
+                listing.machines.iter_mut().for_each(|machine| machine.addr = machine_address(&machine.id).to_string());
                 json_response(200, listing)
             }
             CloudResponse::Released => json_response(200, ()),
@@ -271,12 +280,16 @@
             let due: Vec<(String, String, bool, String)> = {
                 let now = self.now();
                 let mut cloud = self.cloud.borrow_mut();
-                let is_due =
-                    |m: &&mut rushyoke_testkit::RentedMachine| !m.booted && now >= m.rented_at + self.setup.boot_time;
-                let due = cloud.machines.iter_mut().filter_map(|(name, m)| Some(name).zip(Some(m).filter(is_due)));
-                due.map(|(name, m)| {
-                    m.booted = true;
-                    (name.clone(), m.zone.clone(), m.spot, m.kind.clone())
+                let is_due = |machine: &&mut rushyoke_testkit::RentedMachine| {
+                    !machine.booted && now >= machine.rented_at + self.setup.boot_time
+                };
+                let due = cloud
+                    .machines
+                    .iter_mut()
+                    .filter_map(|(name, machine)| Some(name).zip(Some(machine).filter(is_due)));
+                due.map(|(name, machine)| {
+                    machine.booted = true;
+                    (name.clone(), machine.zone.clone(), machine.spot, machine.kind.clone())
                 })
                 .collect()
             };
@@ -327,7 +340,7 @@
         let first_node = name.bytes().last().map_or(0, usize::from) % NODE_COUNT;
         let (mut node, mut connection, mut last_report) =
             (first_node, None, Instant::now() - self.setup.report_interval);
-        // After a refusal the next node is tried soon, not after a whole report interval.
+        // After a failed report the worker tries the next node soon, without waiting for a whole report interval.
         let mut retry_delay = None;
         while self.workers.borrow().contains_key(name) {
             sleep(Duration::from_millis(50)).await;
@@ -344,11 +357,11 @@
                 sleep(delay - last_report.elapsed()).await;
             }
             last_report = Instant::now();
-            let (sent, session) = (self.now(), worker.borrow().session);
+            let (sent_at, session) = (self.now(), worker.borrow().session);
             let mut report = worker.borrow_mut().report();
             report.addr = machine_address(name).to_string();
             if self.is_partitioned(&worker) {
-                // Its lease may expire meanwhile.
+                // The worker's lease may expire meanwhile.
                 while self.is_partitioned(&worker) && last_report.elapsed() < REPORT_TIMEOUT {
                     sleep(Duration::from_millis(50)).await;
                     worker.borrow_mut().advance(self.now(), self.setup.worker_lease, |_| false);
@@ -360,7 +373,7 @@
             match call(&mut connection, public_address(node), "POST", "/v1/report", &report, REPORT_TIMEOUT).await {
                 Some((200, body)) => {
                     let orders: Orders = serde_json::from_slice(&body).expect("orders");
-                    worker.borrow_mut().handle_report_response(self.now(), sent, session, &orders);
+                    worker.borrow_mut().handle_report_response(self.now(), sent_at, session, &orders);
                 }
                 Some((421, body)) => {
                     let redirect: ReportRedirect = serde_json::from_slice(&body).expect("a node");
@@ -383,34 +396,37 @@
             self.array_specs.borrow_mut().insert(id.clone(), spec.clone());
         }
         let mut connection = None;
-        let mut method = ("POST", "/api/jobs".to_owned());
+        let mut next_request = ("POST", "/api/jobs".to_owned());
         let mut body = serde_json::to_value(&spec).expect("jobs encode");
         loop {
             self.user_request_count.set(self.user_request_count.get() + 1);
-            let (verb, path) = &method;
-            match call(&mut connection, public_address(node), verb, path, &body, Duration::from_secs(5)).await {
-                Some((200 | 201, response)) if response.windows(6).any(|w| w == b"\"done\"") && *verb == "GET" => {
-                    if serde_json::from_slice::<serde_json::Value>(&response).is_ok_and(|v| v["status"] == "done") {
+            let (method, path) = &next_request;
+            match call(&mut connection, public_address(node), method, path, &body, Duration::from_secs(5)).await {
+                Some((200 | 201, response))
+                    if response.windows(6).any(|window| window == b"\"done\"") && *method == "GET" =>
+                {
+                    if serde_json::from_slice::<serde_json::Value>(&response).is_ok_and(|view| view["status"] == "done")
+                    {
                         return;
                     }
                 }
                 Some((200 | 201, _)) => {}
                 _ => connection = None,
             }
-            (method, body) = (("GET", format!("/api/jobs/{id}")), serde_json::Value::Null);
+            (next_request, body) = (("GET", format!("/api/jobs/{id}")), serde_json::Value::Null);
             sleep(Duration::from_secs(5)).await;
         }
     }
 }
 
-/// A connection that is kept for the next call, if there is one.
-pub type KeptConnection = Option<SendRequest<Full<Bytes>>>;
+/// An open connection to reuse for the next call, if there is one.
+pub type ReusableConnection = Option<SendRequest<Full<Bytes>>>;
 
 /// Calls an HTTP server. Returns the status and the body, or `None` if there was no response in time.
 pub async fn call(
-    connection: &mut KeptConnection,
+    connection: &mut ReusableConnection,
     addr: SocketAddr,
-    verb: &str,
+    method: &str,
     path: &str,
     body: &impl serde::Serialize,
     time_limit: Duration,
@@ -423,9 +439,9 @@
         *connection = Some(sender);
     }
     let sender = connection.as_mut().expect("connected above");
-    let body = if verb == "GET" { Vec::new() } else { serde_json::to_vec(body).expect("requests encode") };
-    let request = Request::builder().method(verb).uri(path).header("host", addr.to_string());
-    let request = request.body(Full::new(Bytes::from(body))).expect("a fixed head");
+    let body = if method == "GET" { Vec::new() } else { serde_json::to_vec(body).expect("requests encode") };
+    let request = Request::builder().method(method).uri(path).header("host", addr.to_string());
+    let request = request.body(Full::new(Bytes::from(body))).expect("the head is valid");
     let response = async {
         sender.ready().await.ok()?;
         let response = sender.send_request(request).await.ok()?;
@@ -470,9 +486,10 @@
     let child_usages = children.split_whitespace().filter_map(|child| child.parse().ok()).map(process_usage);
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields: Vec<&str> = stat.rsplit(") ").next().unwrap_or_default().split(' ').collect();
-    let ticks = |n: usize| fields.get(n).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0) / 100.0;
-    let own = (ticks(11), ticks(12), fields.get(21).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0) * 4096.0 / 1e6);
-    child_usages.fold(own, |sum, child| (sum.0 + child.0, sum.1 + child.1, sum.2.max(child.2)))
+    let seconds = |n: usize| fields.get(n).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0) / 100.0;
+    let own_usage =
+        (seconds(11), seconds(12), fields.get(21).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0) * 4096.0 / 1e6);
+    child_usages.fold(own_usage, |sum, child| (sum.0 + child.0, sum.1 + child.1, sum.2.max(child.2)))
 }
 
 /// Stops the controllers. Of a controller that runs under a tracer, only the controller is sent the signal, so
--- a/crates/testkit/examples/zones.rs
+++ b/crates/testkit/examples/zones.rs
@@ -53,7 +53,7 @@
     /// Number of tasks that started since the previous sample, by tier.
     #[serde(rename = "began")]
     started: [usize; 3],
-    /// Number of those that started in the partitioned zone.
+    /// Number of tasks that started in the partitioned zone since the previous sample.
     #[serde(rename = "began_in_zone")]
     started_in_zone: usize,
     /// Number of tasks that run on several machines.
@@ -91,7 +91,7 @@
     samples: Vec<Sample>,
 }
 
-/// Returns the tier of a task, which its job's number tells.
+/// Returns the tier of a task, which follows from its job's number.
 fn tier_of(task: &str) -> usize {
     let number: usize = task.trim_start_matches("wk-").split('/').next().and_then(|n| n.parse().ok()).unwrap_or(0);
     (number / 1000).min(2)
@@ -109,7 +109,7 @@
     placements
 }
 
-/// Follows the fleet from sample to sample.
+/// Tracks the running tasks from sample to sample.
 #[derive(Default)]
 struct FleetTracker {
     /// Machine of each running task.
@@ -223,8 +223,8 @@
         samples[from..].iter().find(|sample| sample.running[tier] == tasks[tier]).map(|sample| sample.at_s)
     };
     let mut restarts = [0; 3];
-    for (task, times) in &tracker.starts {
-        restarts[tier_of(task)] += times;
+    for (task, start_count) in &tracker.starts {
+        restarts[tier_of(task)] += start_count;
     }
     let first_restart = samples
         .iter()
@@ -319,7 +319,7 @@
 }
 
 /// Writes the policy file of a run.
-fn policy(folder: &Path, failover: bool) -> PathBuf {
+fn write_policy(folder: &Path, failover: bool) -> PathBuf {
     let file = folder.join(format!("failover-{failover}.yaml"));
     // Keeps idle machines, and rents none ahead of demand.
     let text = format!(
@@ -349,7 +349,7 @@
             teams: teams.iter().map(|team| (*team, cpus / 20.0, cpus)).collect(),
             max_sockets: 1200.max(machines as usize * 3),
             max_memory_mb: 64.0 + f64::from(machines) / 8.0,
-            policy_file: Some(policy(&folder, failover)),
+            policy_file: Some(write_policy(&folder, failover)),
         };
         let run = support::block_on(run_once(setup, failover));
         println!(
