--- a/crates/balance/tests/load.rs
+++ b/crates/balance/tests/load.rs
@@ -20,7 +20,7 @@
     MachineInfo { zone: name("a"), total: cpus(total), accepts_moves: true, claimed: Resources::default() }
 }
 
-/// Machines `m0` to `m3` of 16 CPUs each.
+/// Returns the load model of the machines `m0` to `m3` with 16 CPUs each.
 fn four_machines() -> LoadModel {
     let mut load = LoadModel::default();
     (0..4).for_each(|n| load.set_machine(&name(&format!("m{n}")), machine(16.0)));
@@ -60,7 +60,7 @@
     load.remove_machine(&name("m1"));
     assert_eq!((load.machines(), load.total()), (3, cpus(48.0)));
     assert_eq!(load.zone("a").total, cpus(48.0));
-    // A machine known by its name only, as from a record, has no utilization and is not counted.
+    // A machine of which only the name is known, for example from a record, has no utilization and is not counted.
     load.add_task(&key(2), &name("m9"), &name("red"), cpus(1.0));
     assert_eq!(load.machines(), 3);
 }
@@ -99,7 +99,7 @@
         placed += 1;
         assert!(placed <= 64, "the burst takes all free resources");
     }
-    // Of 64 CPUs 8 stay free.
+    // Of 64 CPUs, 8 stay free.
     assert_eq!((placed, shares.held_jobs().0), (56, 1));
     let blue = name("wk-000002");
     assert!(shares.may_place(now, &load, &settings, &request(&blue, "blue", 10.0)), "within its guarantee");
@@ -120,11 +120,11 @@
     let job = name("wk-000001");
     let (short_s, long_s) = (settings.short_run.as_secs_f64(), settings.short_run.as_secs_f64() + 1.0);
     let mut placed = [0, 0];
-    for (kind, run_s) in [long_s, short_s].into_iter().enumerate() {
+    for (index, run_s) in [long_s, short_s].into_iter().enumerate() {
         while shares.may_place(now, &load, &settings, &request(&job, "red", run_s)) {
             let task = placed[0] + placed[1];
             load.add_task(&key(task), &name(&format!("m{}", task % 4)), &name("red"), cpus(1.0));
-            placed[kind] += 1;
+            placed[index] += 1;
         }
     }
     // Of 64 CPUs, long tasks leave a fifth free and short ones a twentieth.
@@ -137,9 +137,9 @@
     let total = Resources { cpus: 100.0, gpus: 10.0, memory_gb: 400.0 };
     let need = Resources { cpus: 10.0, gpus: 5.0, memory_gb: 40.0 };
     assert!((need.dominant_share(total) - 0.5).abs() < 1e-9);
-    // A resource of which the total is zero does not count.
-    let without = Resources { gpus: 0.0, ..total };
-    assert!((need.dominant_share(without) - 0.1).abs() < 1e-9);
+    // A resource whose total is zero does not count.
+    let without_gpus = Resources { gpus: 0.0, ..total };
+    assert!((need.dominant_share(without_gpus) - 0.1).abs() < 1e-9);
 }
 
 #[test]
--- a/crates/balance/tests/moves.rs
+++ b/crates/balance/tests/moves.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Four machines, the first of which is full of tasks with this remaining run time.
+/// Returns four machines, the first of which is full of tasks with the given remaining run time.
 fn unbalanced(remaining_s: f64, settings: Settings, now: Instant) -> (Balancer, Fleet) {
     let mut balancer = Balancer::new(settings, [(name("red"), MACHINE)]);
     let mut fleet = Fleet { placements: BTreeMap::new(), remaining_s, fetch_s: 1.0 };
@@ -69,15 +69,16 @@
     (balancer, fleet)
 }
 
+/// Begins the first move that the balancer proposes.
 fn first_move(balancer: &mut Balancer, fleet: &Fleet, now: Instant) -> Proposal {
     let later = now + Duration::from_secs(3);
     balancer.tick(later);
-    let (proposal, part) = balancer.propose(fleet, RECORD_BYTES).expect("a move worth its cost");
+    let (proposal, part) = balancer.propose(fleet, RECORD_BYTES).expect("a move is worth its cost");
     balancer.begin(later, &proposal, part);
     proposal
 }
 
-/// Carries out all moves that the balancer proposes, second by second.
+/// Executes all moves that the balancer proposes, second by second. Returns the moved tasks.
 fn run_moves(balancer: &mut Balancer, fleet: &mut Fleet, now: Instant, seconds: u64) -> Vec<TaskKey> {
     let mut moved = Vec::new();
     for second in 1..=seconds {
@@ -89,7 +90,7 @@
             assert!(balancer.booking_durable(now, &key, proposal.task.attempt));
             assert_eq!(balancer.task_left(now, &key, false), None);
             balancer.task_placed(now, &key, &proposal.to, &name("red"), TASK);
-            let (_, end) = balancer.task_running(&key).expect("an end");
+            let (_, end) = balancer.task_running(&key).expect("the move has ended");
             assert_eq!(end, MoveEnd::Confirmed);
             fleet.placements.insert(key.clone(), proposal.to);
             moved.push(key);
@@ -111,8 +112,8 @@
 
 #[test]
 fn concurrent_moves_do_not_empty_their_source() {
-    // Seen on loopback with 300 machines: a source was counted as full until its tasks had left, so all of them
-    // were moved away, and it then stayed idle for its cooldown.
+    // Seen on loopback with 300 machines: a source counted as full until its tasks had stopped, so all of them were
+    // moved away, and it then stayed idle for its cooldown.
     let now = Instant::now();
     let settings = Settings { moves_per_machine: 60.0, ..Settings::default() };
     let (mut balancer, fleet) = unbalanced(100.0, settings, now);
@@ -155,7 +156,7 @@
     let now = Instant::now();
     let settings = Settings { moves_per_machine: 0.5, ..Settings::default() };
     let (mut balancer, mut fleet) = unbalanced(1000.0, settings, now);
-    // Two moves a minute for four machines, and one from the accumulated budget.
+    // Four machines allow two moves a minute, and the accumulated budget one more.
     assert!(run_moves(&mut balancer, &mut fleet, now, 60).len() <= 3);
 }
 
@@ -203,32 +204,34 @@
     assert_eq!(balancer.load().booked(&to), TASK, "the booking is released before the task is placed");
     balancer.task_placed(now, &key, &to, &name("red"), TASK);
     assert!(balancer.load().booked(&to).is_zero());
-    let (_, end) = balancer.task_running(&key).expect("an end");
+    let (_, end) = balancer.task_running(&key).expect("the move has ended");
     assert_eq!((end, balancer.moves().is_empty()), (MoveEnd::Confirmed, true));
 }
 
-/// Ends a move in some way.
+/// Causes the end of a move that has begun.
 type EndMove = fn(&mut Balancer, &Proposal, Instant);
 
 #[test]
 fn every_failure_of_a_move_releases_its_booking_and_counts_its_reason() {
     let now = Instant::now();
     let ends: [(GiveUpReason, EndMove); 5] = [
-        (GiveUpReason::LeftEarly, |b, p, now| drop(b.task_left(now, &p.task.key, false))),
-        (GiveUpReason::TaskEnded, |b, p, now| {
-            b.booking_durable(now, &p.task.key, p.task.attempt);
-            b.task_left(now, &p.task.key, true);
+        (GiveUpReason::LeftEarly, |balancer, proposal, now| drop(balancer.task_left(now, &proposal.task.key, false))),
+        (GiveUpReason::TaskEnded, |balancer, proposal, now| {
+            balancer.booking_durable(now, &proposal.task.key, proposal.task.attempt);
+            balancer.task_left(now, &proposal.task.key, true);
         }),
-        (GiveUpReason::JobCancelled, |b, p, _| drop(b.give_up(&p.task.key, GiveUpReason::JobCancelled))),
-        (GiveUpReason::DestinationGone, |b, p, _| {
-            for key in b.remove_machine(&p.to) {
-                b.give_up(&key, GiveUpReason::DestinationGone);
+        (GiveUpReason::JobCancelled, |balancer, proposal, _| {
+            drop(balancer.give_up(&proposal.task.key, GiveUpReason::JobCancelled))
+        }),
+        (GiveUpReason::DestinationGone, |balancer, proposal, _| {
+            for key in balancer.remove_machine(&proposal.to) {
+                balancer.give_up(&key, GiveUpReason::DestinationGone);
             }
         }),
-        (GiveUpReason::TimedOut, |b, p, now| {
-            b.booking_durable(now, &p.task.key, p.task.attempt);
-            for key in b.tick(now + Duration::from_secs(120)) {
-                b.give_up(&key, GiveUpReason::TimedOut);
+        (GiveUpReason::TimedOut, |balancer, proposal, now| {
+            balancer.booking_durable(now, &proposal.task.key, proposal.task.attempt);
+            for key in balancer.tick(now + Duration::from_secs(120)) {
+                balancer.give_up(&key, GiveUpReason::TimedOut);
             }
         }),
     ];
--- a/crates/failover/tests/zones.rs
+++ b/crates/failover/tests/zones.rs
@@ -1,5 +1,5 @@
-//! Tests of zone states by the observations passed in: losses, relapses, probation, and the state that a new leader
-//! takes over.
+//! Tests of the states of zones after given observations: losses, relapses, probation, and the state that a new
+//! leader takes over.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -20,18 +20,19 @@
     fleet: FleetView,
 }
 
-/// Returns the view of a zone of which `out` machines are out of contact and `failed` fail direct calls.
-fn view(out: usize, failed: usize) -> ZoneView {
-    let (machines, cpus) = (10, 16.0 * (10 - out) as f64);
-    let in_time = machines - out;
+/// Returns the view of a zone of ten machines. `out_of_contact` of them are out of contact, and direct calls to
+/// `unreachable` of them fail.
+fn zone_view(out_of_contact: usize, unreachable: usize) -> ZoneView {
+    let (machines, cpus) = (10, 16.0 * (10 - out_of_contact) as f64);
+    let in_time = machines - out_of_contact;
     let zone =
-        ZoneView { machines, overdue: out, unreachable: failed, out_of_contact: out, in_time, ..ZoneView::default() };
-    ZoneView { tasks_out_of_contact: out, cpus, largest_machine_cpus: 16.0, ..zone }
+        ZoneView { machines, overdue: out_of_contact, unreachable, out_of_contact, in_time, ..ZoneView::default() };
+    ZoneView { tasks_out_of_contact: out_of_contact, cpus, largest_machine_cpus: 16.0, ..zone }
 }
 
 impl Scenario {
     fn new() -> Scenario {
-        let zones: BTreeMap<String, ZoneView> = ["a", "b", "c"].map(|zone| (zone.to_owned(), view(0, 0))).into();
+        let zones: BTreeMap<String, ZoneView> = ["a", "b", "c"].map(|zone| (zone.to_owned(), zone_view(0, 0))).into();
         let fleet = FleetView { zones, other_controllers: 2, responding_controllers: 2, ..FleetView::default() };
         Scenario { start: Instant::now(), elapsed: Duration::ZERO, failover: Failover::new(Settings::default()), fleet }
     }
@@ -40,30 +41,30 @@
         self.start + self.elapsed
     }
 
-    fn set(&mut self, zone: &str, out: usize, failed: usize) {
-        self.fleet.zones.insert(zone.into(), view(out, failed));
+    fn set_zone(&mut self, zone: &str, out_of_contact: usize, unreachable: usize) {
+        self.fleet.zones.insert(zone.into(), zone_view(out_of_contact, unreachable));
     }
 
     /// Advances the clock with an observation every 300 ms; returns their combined results.
     fn advance(&mut self, ms: u64) -> Observation {
-        let mut all = Observation::default();
+        let mut combined = Observation::default();
         for _ in 0..ms.div_ceil(300) {
             self.elapsed += Duration::from_millis(300);
             let observation = self.failover.observe(self.now(), &self.fleet);
-            all.transitions.extend(observation.transitions);
-            all.minority = observation.minority;
-            all.finished_evacuation = all.finished_evacuation.or(observation.finished_evacuation);
+            combined.transitions.extend(observation.transitions);
+            combined.minority = observation.minority;
+            combined.finished_evacuation = combined.finished_evacuation.or(observation.finished_evacuation);
         }
-        all
+        combined
     }
 
     fn state(&self, zone: &str) -> ZoneState {
         self.failover.state(zone)
     }
 
-    /// Lets a healthy or returning zone be lost.
+    /// Brings a healthy or returning zone into the state `Lost`.
     fn lose(&mut self, zone: &str) {
-        self.set(zone, 10, 10);
+        self.set_zone(zone, 10, 10);
         self.advance(2100);
         assert_eq!(self.state(zone), ZoneState::Lost);
     }
@@ -72,11 +73,11 @@
 #[test]
 fn late_reports_make_a_zone_suspect_and_failed_calls_make_it_lost_after_a_while() {
     let mut scenario = Scenario::new();
-    scenario.set("b", 10, 0);
+    scenario.set_zone("b", 10, 0);
     let observation = scenario.advance(3000);
     assert_eq!(observation.transitions[0].evidence, Evidence::MachinesOut { out: 10, of: 10 });
     assert_eq!(scenario.state("b"), ZoneState::Suspect);
-    scenario.set("b", 10, 9);
+    scenario.set_zone("b", 10, 9);
     assert!(scenario.advance(300).transitions.is_empty(), "lost before the confirmation time");
     let observation = scenario.advance(900);
     assert_eq!((observation.transitions[0].to, observation.transitions[0].episode), (ZoneState::Lost, 1));
@@ -87,7 +88,7 @@
 #[test]
 fn a_half_failed_zone_stays_suspect_and_is_paused_briefly() {
     let mut scenario = Scenario::new();
-    scenario.set("b", 6, 6);
+    scenario.set_zone("b", 6, 6);
     scenario.advance(900);
     assert_eq!(
         (scenario.state("b"), scenario.failover.access(scenario.now(), "b")),
@@ -98,7 +99,7 @@
         (scenario.state("b"), scenario.failover.access(scenario.now(), "b")),
         (ZoneState::Suspect, Access::Open)
     );
-    scenario.set("b", 2, 2);
+    scenario.set_zone("b", 2, 2);
     scenario.advance(300);
     assert_eq!(scenario.state("b"), ZoneState::Healthy);
 }
@@ -106,10 +107,10 @@
 #[test]
 fn reclaimed_spot_machines_do_not_make_their_zone_lost() {
     let mut scenario = Scenario::new();
-    scenario.fleet.zones.insert("b".into(), ZoneView { ordinary: 2, ordinary_out_of_contact: 0, ..view(8, 8) });
+    scenario.fleet.zones.insert("b".into(), ZoneView { ordinary: 2, ordinary_out_of_contact: 0, ..zone_view(8, 8) });
     scenario.advance(6000);
     assert_eq!(scenario.state("b"), ZoneState::Healthy);
-    scenario.fleet.zones.insert("b".into(), ZoneView { ordinary: 2, ordinary_out_of_contact: 2, ..view(10, 10) });
+    scenario.fleet.zones.insert("b".into(), ZoneView { ordinary: 2, ordinary_out_of_contact: 2, ..zone_view(10, 10) });
     scenario.advance(2100);
     assert_eq!(scenario.state("b"), ZoneState::Lost);
 }
@@ -118,8 +119,8 @@
 fn a_partitioned_node_judges_no_zone_and_steps_down_once() {
     let mut scenario = Scenario::new();
     (scenario.fleet.responding_controllers, scenario.fleet.workers_reconnecting) = (0, true);
-    scenario.set("a", 10, 10);
-    scenario.set("b", 10, 10);
+    scenario.set_zone("a", 10, 10);
+    scenario.set_zone("b", 10, 10);
     assert!(!scenario.advance(900).minority, "workers are still looking for this leader");
     scenario.fleet.workers_reconnecting = false;
     assert!(scenario.advance(3000).minority);
@@ -137,7 +138,7 @@
     let mut probations = Vec::new();
     for _ in 0..3 {
         scenario.lose("b");
-        scenario.set("b", 0, 0);
+        scenario.set_zone("b", 0, 0);
         assert_eq!(scenario.advance(300).transitions[0].evidence, Evidence::ReportsInTime { in_time: 10, of: 10 });
         let zone = scenario.failover.zone("b").expect("observed");
         assert_eq!(zone.episode(), 1);
@@ -204,7 +205,7 @@
         let key = (Name::from("wk-000001"), 3);
         assert!(scenario.failover.is_evacuating());
         scenario.failover.task_displaced(&key, 1);
-        scenario.fleet.zones.insert("b".into(), ZoneView { tasks_out_of_contact: 0, ..view(10, 10) });
+        scenario.fleet.zones.insert("b".into(), ZoneView { tasks_out_of_contact: 0, ..zone_view(10, 10) });
         assert!(scenario.advance(30_000).finished_evacuation.is_none() && scenario.failover.is_evacuating());
         if placed {
             scenario.failover.task_placed(scenario.now(), &key);
