--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -157,7 +157,7 @@
     /// Reads the final records of dependencies that are not in the table of unfinished jobs.
     pub fn read_dependencies(&mut self, env: &mut Env) {
         let now = env.steady();
-        if self.dependencies.unread.is_empty() || self.dependencies.retry.is_some_and(|retry_at| retry_at > now) {
+        if self.dependencies.unread.is_empty() || self.dependencies.retry_at.is_some_and(|retry_at| retry_at > now) {
             return;
         }
         while self.dependencies.reading.len() < MAX_READS {
@@ -186,7 +186,7 @@
         }
         if self.dependencies.dependents.contains_key(&dependency) {
             self.dependencies.unread.insert(dependency);
-            self.dependencies.retry = Some(env.steady() + RETRY_DELAY);
+            self.dependencies.retry_at = Some(env.steady() + RETRY_DELAY);
         }
     }
 }
--- a/crates/core/src/dependencies/state.rs
+++ b/crates/core/src/dependencies/state.rs
@@ -15,5 +15,5 @@
     /// Dependencies whose records are being read.
     pub(super) reading: BTreeSet<Name>,
     /// Earliest time of the next read after one that found no final record.
-    pub(super) retry: Option<Instant>,
+    pub(super) retry_at: Option<Instant>,
 }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/fleet.rs
@@ -105,7 +105,8 @@
             failover.forget_drain(name);
         }
         self.destination_gone(name);
-        self.renting.mark_gone(name, MIN_REMOVED_NAMES_KEPT.max(REMOVED_NAMES_KEPT_PER_MACHINE * self.machines.len()));
+        self.renting
+            .remember_removed(name, MIN_REMOVED_NAMES_KEPT.max(REMOVED_NAMES_KEPT_PER_MACHINE * self.machines.len()));
         self.scheduling_due = true;
     }
 
@@ -113,7 +114,7 @@
     pub fn machine_listed(&mut self, env: &mut Env, listed: &ListedMachine) {
         let now = env.steady();
         let name = Name::from(listed.id.as_str());
-        if self.renting.is_gone(&name) {
+        if self.renting.was_removed(&name) {
             return;
         }
         if listed.phase == CloudPhase::Failed {
@@ -130,11 +131,11 @@
             Machine { known_since: known, ..Machine::new(name.clone(), now) }
         });
         if machine.kind.is_empty() {
-            machine.kind = listed.kind.clone();
+            machine.kind = listed.machine_type.clone();
             machine.zone = listed.zone.clone();
             self.zones.insert(listed.zone.clone());
             machine.spot = listed.spot;
-            machine.apply_type(env.machine_type(&listed.kind));
+            machine.apply_type(env.machine_type(&listed.machine_type));
         }
         if machine.addr.is_empty() {
             machine.addr = listed.addr.clone();
--- a/crates/core/src/fleet/machine.rs
+++ b/crates/core/src/fleet/machine.rs
@@ -215,7 +215,7 @@
         tracing::debug!(machine = &*self.name, after_s = now.duration_since(self.known_since).as_secs(), "up");
         self.up = true;
         self.idle_since.get_or_insert(now);
-        self.kind = report.kind.clone();
+        self.kind = report.machine_type.clone();
         self.zone = report.zone.clone();
         self.spot = report.spot;
         self.apply_type(machine_type);
--- a/crates/core/src/fleet/reports.rs
+++ b/crates/core/src/fleet/reports.rs
@@ -26,7 +26,7 @@
         let name = Name::from(report.machine.as_str());
         let lease_expired =
             self.machines.get(&name).is_some_and(|m| m.expired_session.is_some_and(|s| report.session <= s));
-        if lease_expired || self.renting.is_gone(&name) {
+        if lease_expired || self.renting.was_removed(&name) {
             // Its tasks are considered lost; a response would renew their lease.
             return Some(HttpResponse::later(503, "the lease of this session has ended"));
         }
@@ -168,8 +168,8 @@
             return false;
         }
         machine.tasks_digest = None;
-        if !machine.up || machine.kind != report.kind {
-            machine.mark_up(now, report, env.machine_type(&report.kind));
+        if !machine.up || machine.kind != report.machine_type {
+            machine.mark_up(now, report, env.machine_type(&report.machine_type));
             self.zones.insert(report.zone.clone());
             self.scheduling_due = true;
         }
--- a/crates/core/src/relay.rs
+++ b/crates/core/src/relay.rs
@@ -100,7 +100,7 @@
                         tasks += list.len();
                         Some(FullReport {
                             addr: report.addr.clone(),
-                            kind: report.kind.clone(),
+                            machine_type: report.machine_type.clone(),
                             zone: report.zone.clone(),
                             spot: report.spot,
                             tasks: list,
@@ -139,7 +139,7 @@
             for relayed in relay.reports {
                 let (report, digest, full) = unpack(relayed);
                 let tasks = if full { ReportedTasks::Parsed(digest) } else { ReportedTasks::Digest(digest) };
-                response.answers.push(match self.respond_to_report(report, tasks) {
+                response.responses.push(match self.respond_to_report(report, tasks) {
                     ReportOutcome::Response(HttpResponse { status, body, retry_after_s }) => {
                         Some(RelayedResponse { status, body, retry_after_s })
                     }
@@ -159,7 +159,7 @@
         }
         let now = self.env.steady();
         let mut responses = match outcome {
-            Outcome::Responded(response) => response.answers.into_iter(),
+            Outcome::Responded(response) => response.responses.into_iter(),
             _ => {
                 self.relaying.paused = self.election.other_leader_token().map(|token| (token, now + FAILURE_PAUSE));
                 Vec::new().into_iter()
@@ -211,11 +211,16 @@
 fn unpack(relayed: RelayedReport) -> (Report, u64, bool) {
     let RelayedReport { machine, session, seq, token, notice_s, digest, full } = relayed;
     let has_tasks = full.is_some();
-    let empty =
-        FullReport { addr: String::new(), kind: String::new(), zone: String::new(), spot: false, tasks: Vec::new() };
-    let FullReport { addr, kind, zone, spot, tasks } = full.unwrap_or(empty);
+    let empty = FullReport {
+        addr: String::new(),
+        machine_type: String::new(),
+        zone: String::new(),
+        spot: false,
+        tasks: Vec::new(),
+    };
+    let FullReport { addr, machine_type, zone, spot, tasks } = full.unwrap_or(empty);
     let unpack =
         |t: RelayedTask| TaskReport { task: t.task, attempt: t.attempt, state: t.state, cause: t.cause, saved: None };
     let tasks = tasks.into_iter().map(unpack).collect();
-    (Report { machine, addr, kind, zone, spot, session, seq, token, notice_s, tasks }, digest, has_tasks)
+    (Report { machine, addr, machine_type, zone, spot, session, seq, token, notice_s, tasks }, digest, has_tasks)
 }
--- a/crates/core/src/rent.rs
+++ b/crates/core/src/rent.rs
@@ -103,7 +103,7 @@
         for machine in self.machines.values() {
             *machines_by_zone.entry(machine.zone.clone()).or_default() += 1;
         }
-        while !need.is_zero() && self.renting.rentals_left > 0 {
+        while !need.is_zero() && self.renting.remaining_rentals > 0 {
             let mut options: Vec<(f64, f64, Market)> = Vec::new();
             for kind in env.machine_types.iter() {
                 let count = machines_needed(need, kind);
@@ -132,7 +132,7 @@
             // Spread over the zones with the same cost.
             let zones = options.iter().filter(|option| option.0 <= cost).count() as u32;
             let count = (count.ceil() as u32).max(1).div_ceil(zones).min(MAX_MACHINES_PER_RENTAL);
-            self.renting.rentals_left -= 1;
+            self.renting.remaining_rentals -= 1;
             self.renting.request_serial += 1;
             let request = format!("r-{}-{}", self.token, self.renting.request_serial);
             tracing::info!(request, kind, zone, spot, count, "renting");
@@ -141,7 +141,7 @@
                 need = shortfall(need, rented.scaled(f64::from(count)));
             }
             *machines_by_zone.entry(zone.clone()).or_default() += count;
-            self.send_rental(env, Rental { request, kind, zone, spot, count });
+            self.send_rental(env, Rental { request, machine_type: kind, zone, spot, count });
         }
     }
 
@@ -192,7 +192,7 @@
         let open_before = self.renting.open_rentals.len();
         self.renting.open_rentals.retain(|(open, _)| open.request != rental.request);
         let already_answered = self.renting.open_rentals.len() == open_before;
-        let market = (rental.kind.clone(), rental.zone.clone(), rental.spot);
+        let market = (rental.machine_type.clone(), rental.zone.clone(), rental.spot);
         match outcome {
             Outcome::Responded(CloudResponse::Rented(_)) if already_answered => {}
             Outcome::Responded(CloudResponse::Rented(names)) => {
@@ -204,7 +204,7 @@
                 self.add_rented_machines(env, &rental, names);
             }
             Outcome::Responded(CloudResponse::NoCapacity) => {
-                tracing::info!(kind = rental.kind, zone = rental.zone, spot = rental.spot, "no capacity");
+                tracing::info!(kind = rental.machine_type, zone = rental.zone, spot = rental.spot, "no capacity");
                 self.renting.no_capacity_until.insert(market, now + NO_CAPACITY_BACKOFF);
             }
             _ => {
@@ -215,7 +215,7 @@
 
     /// Adds machines that were rented and will boot.
     fn add_rented_machines(&mut self, env: &Env, rental: &Rental, names: Vec<String>) {
-        let Some(kind) = env.machine_type(&rental.kind) else { return };
+        let Some(kind) = env.machine_type(&rental.machine_type) else { return };
         for name in names {
             let name = Name::from(name.as_str());
             let machine = || Machine::rented(name.clone(), kind, &rental.zone, rental.spot, env.steady());
--- a/crates/core/src/rent/demand.rs
+++ b/crates/core/src/rent/demand.rs
@@ -93,7 +93,7 @@
     /// Rents machines for the demand, reserve and headroom that the supply does not cover, and chooses the
     /// machines to retire.
     pub(super) fn rent_shortfall(&mut self, env: &mut Env) {
-        self.renting.rentals_left = (env.facts.cloud_rps * RENTAL_CALL_SHARE).max(MIN_RENTALS_PER_S) as usize;
+        self.renting.remaining_rentals = (env.facts.cloud_rps * RENTAL_CALL_SHARE).max(MIN_RENTALS_PER_S) as usize;
         self.rent_by_tiers(env);
         let mut demand = self.demand(|_| true);
         let supply = self.supply(env);
@@ -198,7 +198,7 @@
             supply.add(&machine.zone, machine.spot, machine.total.minus(machine.used));
         }
         for (rental, _) in &self.renting.open_rentals {
-            if let Some(kind) = env.machine_type(&rental.kind) {
+            if let Some(kind) = env.machine_type(&rental.machine_type) {
                 let machine = Resources { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
                 supply.add(&rental.zone, rental.spot, machine.scaled(f64::from(rental.count)));
             }
--- a/crates/core/src/rent/renting.rs
+++ b/crates/core/src/rent/renting.rs
@@ -31,9 +31,9 @@
     /// Whether a release request has no outcome yet.
     pub(super) release_in_flight: bool,
     /// Machines that have ended, the oldest first.
-    pub(super) gone: VecDeque<Name>,
+    pub(super) removed: VecDeque<Name>,
     /// The same machines, for lookups.
-    pub(super) gone_names: HashSet<Name>,
+    pub(super) removed_names: HashSet<Name>,
     /// Whether a listing request has no outcome yet.
     pub(super) listing_in_flight: bool,
     /// When the last listing was requested; `None` if the next one is due at once.
@@ -49,23 +49,23 @@
     /// Moving average of the CPUs of a production service.
     pub(super) mean_service_cpus: f64,
     /// Rental requests that may still be sent in this second.
-    pub(super) rentals_left: usize,
+    pub(super) remaining_rentals: usize,
 }
 
 impl RentalState {
     /// Whether the machine has ended.
-    pub fn is_gone(&self, name: &Name) -> bool {
-        self.gone_names.contains(name)
+    pub fn was_removed(&self, name: &Name) -> bool {
+        self.removed_names.contains(name)
     }
 
     /// Remembers that a machine has ended, and forgets the oldest beyond `keep`.
-    pub fn mark_gone(&mut self, name: &Name, keep: usize) {
-        if self.gone_names.insert(name.clone()) {
-            self.gone.push_back(name.clone());
+    pub fn remember_removed(&mut self, name: &Name, keep: usize) {
+        if self.removed_names.insert(name.clone()) {
+            self.removed.push_back(name.clone());
         }
-        while self.gone.len() > keep {
-            if let Some(oldest) = self.gone.pop_front() {
-                self.gone_names.remove(&oldest);
+        while self.removed.len() > keep {
+            if let Some(oldest) = self.removed.pop_front() {
+                self.removed_names.remove(&oldest);
             }
         }
     }
--- a/crates/core/tests/upgrade.rs
+++ b/crates/core/tests/upgrade.rs
@@ -149,7 +149,7 @@
         assert_eq!(relay.reports[0].full.as_ref().map(|full| full.tasks.len()), Some(2));
         assert_eq!(encode(&relay), fixture.message("relay"));
         let told: RelayResponse = decode(&fixture.message("relay_told")).expect("answers");
-        assert_eq!(told.answers.len(), 3);
+        assert_eq!(told.responses.len(), 3);
         assert_eq!(encode(&told), fixture.message("relay_told"));
     }
 }
--- a/crates/rushyoke/src/client.rs
+++ b/crates/rushyoke/src/client.rs
@@ -10,7 +10,7 @@
 use rushyoke_core::Outcome;
 use tokio::task::LocalSet;
 
-use crate::http_client::{HttpClient, IdleLimit, OutgoingRequest};
+use crate::http_client::{HttpClient, IdleConnectionLimit, OutgoingRequest};
 
 /// Controller that a request is sent to.
 #[derive(clap::Args)]
@@ -60,7 +60,7 @@
     };
     match LocalSet::new()
         .run_until(
-            HttpClient::new(IdleLimit { reserved: 1, inbound: Rc::default(), max_inbound: 0 }, Rc::default())
+            HttpClient::new(IdleConnectionLimit { reserved: 1, inbound: Rc::default(), max_inbound: 0 }, Rc::default())
                 .request(request),
         )
         .await
--- a/crates/rushyoke/src/driver.rs
+++ b/crates/rushyoke/src/driver.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::LocalSet;
 
-use crate::http_client::{HttpClient, IdleLimit};
+use crate::http_client::{HttpClient, IdleConnectionLimit};
 use crate::outbound;
 use crate::pacing::Pacer;
 use crate::rate_limit::RateLimitedQueue;
@@ -102,7 +102,7 @@
     let start = now();
     let stats = Rc::new(RefCell::new(Stats::new(start.steady)));
     let client = HttpClient::new(
-        IdleLimit { reserved: sockets.idle, inbound: open_connections.clone(), max_inbound: sockets.inbound },
+        IdleConnectionLimit { reserved: sockets.idle, inbound: open_connections.clone(), max_inbound: sockets.inbound },
         stats.clone(),
     );
     let pacer = Pacer::default();
--- a/crates/rushyoke/src/http_client.rs
+++ b/crates/rushyoke/src/http_client.rs
@@ -29,14 +29,14 @@
 pub struct HttpClient {
     /// Idle connections in the order of their last use, the most recent last.
     idle: Rc<RefCell<VecDeque<(SocketAddr, Sender)>>>,
-    idle_limit: IdleLimit,
+    idle_limit: IdleConnectionLimit,
     stats: Rc<RefCell<Stats>>,
 }
 
 /// Limit of the idle connections: a reserved number, and the sockets that inbound connections leave free. Idle
 /// connections are worth keeping, since opening one costs several times as much as a request on it.
 #[derive(Clone)]
-pub struct IdleLimit {
+pub struct IdleConnectionLimit {
     /// Idle connections that are allowed at any time.
     pub reserved: usize,
     /// Number of open inbound connections.
@@ -45,7 +45,7 @@
     pub max_inbound: usize,
 }
 
-impl IdleLimit {
+impl IdleConnectionLimit {
     /// Returns the number of idle connections allowed now.
     fn max_idle(&self) -> usize {
         // An eighth stays free for connections that are being opened or are not closed yet.
@@ -68,7 +68,7 @@
 
 impl HttpClient {
     /// Creates a client without connections.
-    pub fn new(idle_limit: IdleLimit, stats: Rc<RefCell<Stats>>) -> HttpClient {
+    pub fn new(idle_limit: IdleConnectionLimit, stats: Rc<RefCell<Stats>>) -> HttpClient {
         HttpClient { idle: Rc::default(), idle_limit, stats }
     }
 
--- a/crates/rushyoke/src/outbound.rs
+++ b/crates/rushyoke/src/outbound.rs
@@ -9,7 +9,7 @@
 use rushyoke_core::{CloudOp, CloudResponse, Outcome, StoreOp, StoreResponse};
 use rushyoke_wire::cloud::{Listing, MachineNames, MachineTypes};
 use rushyoke_wire::peer::{PeerRequest, PeerResponse, RelayRequest, RelayResponse, decode, encode};
-use rushyoke_wire::store::{Changes, Committed, Item, Lease, NewLease, Page, Refused};
+use rushyoke_wire::store::{Changes, Committed, FailedConditions, Item, Lease, NewLease, Page};
 use rushyoke_wire::worker::{Orders, Report};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -124,7 +124,7 @@
             responded_or_unknown(parse_json::<Committed>("state", &body).map(|c| StoreResponse::Committed(c.revision)))
         }
         (StoreOp::Txn(_), 409) => responded_or_unknown(
-            parse_json::<Refused>("state", &body).map(|r| StoreResponse::ConditionsFailed(r.failed)),
+            parse_json::<FailedConditions>("state", &body).map(|r| StoreResponse::ConditionsFailed(r.failed)),
         ),
         (StoreOp::Txn(_), 400) => {
             let text = String::from_utf8_lossy(&body);
--- a/crates/rushyoke/src/server/tests.rs
+++ b/crates/rushyoke/src/server/tests.rs
@@ -2,10 +2,10 @@
 use hyper::body::Frame;
 
 use super::*;
-use crate::http_client::IdleLimit;
+use crate::http_client::IdleConnectionLimit;
 
 fn server(max_body_bytes: usize) -> Server {
-    let idle_limit = IdleLimit { reserved: 1, inbound: Rc::default(), max_inbound: 1 };
+    let idle_limit = IdleConnectionLimit { reserved: 1, inbound: Rc::default(), max_inbound: 1 };
     Server {
         kind: ListenerKind::Public,
         requests: mpsc::channel(1).0,
--- a/crates/testkit/examples/support/mod.rs
+++ b/crates/testkit/examples/support/mod.rs
@@ -22,7 +22,7 @@
 use rushyoke_testkit::{Cloud, Store, Worker};
 use rushyoke_wire::cloud::{MachineNames, MachineTypes, Rental};
 use rushyoke_wire::job::JobSpec;
-use rushyoke_wire::store::{Committed, Lease, NewLease, Refused, Txn};
+use rushyoke_wire::store::{Committed, FailedConditions, Lease, NewLease, Txn};
 use rushyoke_wire::worker::{Orders, ReportRedirect};
 use serde_json::json;
 use tokio::net::{TcpListener, TcpStream};
@@ -214,7 +214,7 @@
             StoreResponse::Item(None) => reply(404, json!({"ledger": after})),
             StoreResponse::Page(page) => reply(200, page),
             StoreResponse::Committed(revision) => reply(200, Committed { revision }),
-            StoreResponse::ConditionsFailed(failed) => reply(409, Refused { failed }),
+            StoreResponse::ConditionsFailed(failed) => reply(409, FailedConditions { failed }),
             StoreResponse::Lease(lease) => reply(200, Lease { lease }),
             StoreResponse::LeaseOk => reply(200, ()),
             _ => reply(if path == "/txn" { 400 } else { 404 }, json!({"error": "no such lease"})),
--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -111,7 +111,7 @@
                 let mut machines = rows.map(|(name, m)| ListedMachine {
                     id: name.clone(),
                     addr: name.clone(),
-                    kind: m.kind.clone(),
+                    machine_type: m.kind.clone(),
                     zone: m.zone.clone(),
                     spot: m.spot,
                     phase: if m.booted { Phase::Running } else { Phase::Booting },
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -83,7 +83,7 @@
         Report {
             machine: self.name.clone(),
             addr: self.name.clone(),
-            kind: self.kind.clone(),
+            machine_type: self.kind.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
             session: self.session,
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -50,7 +50,7 @@
     pub request: String,
     /// Machine type.
     #[serde(rename = "rig")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone of the machines.
     #[serde(rename = "yard")]
     pub zone: String,
@@ -94,7 +94,7 @@
     pub addr: String,
     /// Machine type.
     #[serde(rename = "rig")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -83,7 +83,7 @@
     /// Address at which the worker accepts direct calls.
     pub addr: String,
     /// Machine type.
-    pub kind: String,
+    pub machine_type: String,
     /// Zone of the machine.
     pub zone: String,
     /// Whether it is a spot machine, which the cloud may reclaim.
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RelayResponse {
     /// The responses, in the order of the reports; `None` asks for the report in full.
-    pub answers: Vec<Option<RelayedResponse>>,
+    pub responses: Vec<Option<RelayedResponse>>,
 }
 
 /// The HTTP response that the relaying controller returns to the worker.
--- a/crates/wire/src/store.rs
+++ b/crates/wire/src/store.rs
@@ -111,7 +111,7 @@
 
 /// Response to a transaction whose conditions did not all hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Refused {
+pub struct FailedConditions {
     /// Keys whose conditions failed.
     pub failed: Vec<String>,
 }
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -70,7 +70,7 @@
     pub addr: String,
     /// Machine type.
     #[serde(rename = "rig")]
-    pub kind: String,
+    pub machine_type: String,
     /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
@@ -102,8 +102,9 @@
 impl UnparsedReport {
     /// Returns the report without its tasks, and the unparsed list of tasks.
     pub fn split(self) -> (Report, Option<Box<RawValue>>) {
-        let UnparsedReport { machine, addr, kind, zone, spot, session, seq, token, notice_s, tasks } = self;
-        let report = Report { machine, addr, kind, zone, spot, session, seq, token, notice_s, tasks: Vec::new() };
+        let UnparsedReport { machine, addr, machine_type, zone, spot, session, seq, token, notice_s, tasks } = self;
+        let report =
+            Report { machine, addr, machine_type, zone, spot, session, seq, token, notice_s, tasks: Vec::new() };
         (report, tasks)
     }
 }
