--- a/crates/core/src/rent.rs
+++ b/crates/core/src/rent.rs
@@ -30,7 +30,7 @@
 const RENTAL_CALL_SHARE: f64 = 0.5;
 /// Minimum number of rental requests per second, whatever the rate limit.
 const MIN_RENTALS_PER_S: f64 = 2.0;
-/// Time for which a machine type is not requested in a zone after the cloud had no capacity.
+/// Time for which a machine type is not requested in a zone after the cloud had no capacity for it there.
 const NO_CAPACITY_BACKOFF: Duration = Duration::from_secs(6);
 /// Delay before a failed call to the cloud is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(1200);
@@ -38,7 +38,7 @@
 const LATE_AFTER_BOOT_TIMES: f64 = 2.0;
 /// Multiple of the usual boot time after which a machine that never reported is released.
 const LOST_AFTER_BOOT_TIMES: f64 = 5.0;
-/// Minimum time that the cloud charges for a machine; idle machines are kept for as long.
+/// Minimum time that the cloud charges for a machine; idle machines are not released before it has passed.
 const MIN_CHARGED_TIME: Duration = Duration::from_secs(58);
 /// Minimum run time of a task before it may be moved: users do not count a start that is stopped
 /// sooner.
@@ -51,8 +51,9 @@
 /// Largest number of unused replica moves that accumulate.
 const MAX_SAVED_MOVES: f64 = 8.0;
 
-/// Returns the number of machines of a type that provide the resources; infinite if the type lacks one of them.
-fn machines_needed(need: Resources, kind: &MachineType) -> f64 {
+/// Returns the number of machines of a type that provide the resources, not rounded up; infinite if the type lacks
+/// one of them.
+fn machines_needed(need: Resources, machine_type: &MachineType) -> f64 {
     let ratio = |needed: f64, provided: f64| {
         if needed <= 0.0 {
             0.0
@@ -62,7 +63,9 @@
             f64::INFINITY
         }
     };
-    ratio(need.cpus, kind.cpus).max(ratio(need.gpus, kind.gpus)).max(ratio(need.memory_gb, kind.memory_gb))
+    ratio(need.cpus, machine_type.cpus)
+        .max(ratio(need.gpus, machine_type.gpus))
+        .max(ratio(need.memory_gb, machine_type.memory_gb))
 }
 
 impl Term {
@@ -83,7 +86,7 @@
     fn request_listing(&mut self, env: &mut Env) {
         let now = env.steady();
         let period = (env.facts.cloud_list_lag / 2).clamp(Duration::from_secs(2), Duration::from_secs(10));
-        let due = self.renting.last_listing.is_none_or(|t| now.duration_since(t) >= period);
+        let due = self.renting.last_listing.is_none_or(|requested_at| now.duration_since(requested_at) >= period);
         if due && !self.renting.listing_in_flight {
             self.renting.listing_in_flight = true;
             self.renting.last_listing = Some(now);
@@ -92,11 +95,12 @@
         }
     }
 
-    /// Rents machines for `need`, in the zones `within` if given; spot work falls back on ordinary machines.
+    /// Rents machines that provide `need`, only in `allowed_zones` if given. If no spot machines are available,
+    /// on-demand machines are rented for spot work.
     ///
     /// All machines are requested at once, within the limit on calls to the cloud: in a large fleet, renting
     /// a part each second would take minutes while jobs wait for their first task.
-    fn rent_resources(&mut self, env: &mut Env, mut need: Resources, spot: bool, within: Option<&[String]>) {
+    fn rent_resources(&mut self, env: &mut Env, mut need: Resources, spot: bool, allowed_zones: Option<&[String]>) {
         let now = env.steady();
         self.renting.no_capacity_until.retain(|_, until| *until > now);
         let mut machines_by_zone: BTreeMap<String, u32> = BTreeMap::new();
@@ -104,44 +108,50 @@
             *machines_by_zone.entry(machine.zone.clone()).or_default() += 1;
         }
         while !need.is_zero() && self.renting.remaining_rentals > 0 {
-            let mut options: Vec<(f64, f64, Market)> = Vec::new();
-            for kind in env.machine_types.iter() {
-                let count = machines_needed(need, kind);
+            // Cost, number of machines and market of each offer.
+            let mut offers: Vec<(f64, f64, Market)> = Vec::new();
+            for machine_type in env.machine_types.iter() {
+                let count = machines_needed(need, machine_type);
                 if !count.is_finite() {
                     continue;
                 }
-                let price = if spot { kind.spot_price.unwrap_or(f64::INFINITY) } else { kind.price };
-                for zone in kind.zones.iter().filter(|z| within.is_none_or(|w| w.contains(z))) {
-                    let market = (kind.name.clone(), zone.clone(), spot);
+                let price = if spot { machine_type.spot_price.unwrap_or(f64::INFINITY) } else { machine_type.price };
+                for zone in
+                    machine_type.zones.iter().filter(|zone| allowed_zones.is_none_or(|allowed| allowed.contains(zone)))
+                {
+                    let market = (machine_type.name.clone(), zone.clone(), spot);
                     let no_capacity = self.renting.no_capacity_until.contains_key(&market);
-                    let closed = self.zone_is_unreachable(zone) || self.zone_is_closed(zone);
-                    if price.is_finite() && !no_capacity && !closed {
-                        options.push((price * count, count, market));
+                    let unavailable = self.zone_is_unreachable(zone) || self.zone_is_closed(zone);
+                    if price.is_finite() && !no_capacity && !unavailable {
+                        offers.push((price * count, count, market));
                     }
                 }
             }
-            // Equal costs: the zone with the fewest machines first, so that no zone holds all.
+            // At equal costs, the zone with the fewest machines comes first, so that no zone gets all of them.
             let zone_machines = |market: &Market| machines_by_zone.get(&market.1).copied().unwrap_or(0);
-            options.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| zone_machines(&a.2).cmp(&zone_machines(&b.2))));
-            let Some((cost, count, (kind, zone, _))) = options.first().cloned() else {
+            offers.sort_by(|(cost, _, market), (other_cost, _, other_market)| {
+                cost.total_cmp(other_cost).then_with(|| zone_machines(market).cmp(&zone_machines(other_market)))
+            });
+            let Some((cost, count, (machine_type, zone, _))) = offers.first().cloned() else {
                 if spot {
-                    self.rent_resources(env, need, false, within);
+                    self.rent_resources(env, need, false, allowed_zones);
                 }
                 return;
             };
-            // Spread over the zones with the same cost.
-            let zones = options.iter().filter(|option| option.0 <= cost).count() as u32;
-            let count = (count.ceil() as u32).max(1).div_ceil(zones).min(MAX_MACHINES_PER_RENTAL);
+            // The machines are spread over the offers with the same cost.
+            let equal_offers = offers.iter().filter(|(other_cost, _, _)| *other_cost <= cost).count() as u32;
+            let count = (count.ceil() as u32).max(1).div_ceil(equal_offers).min(MAX_MACHINES_PER_RENTAL);
             self.renting.remaining_rentals -= 1;
             self.renting.request_serial += 1;
             let request = format!("r-{}-{}", self.token, self.renting.request_serial);
-            tracing::info!(request, kind, zone, spot, count, "renting");
-            if let Some(kind) = env.machine_type(&kind) {
-                let rented = Resources { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
+            tracing::info!(request, kind = machine_type, zone, spot, count, "renting");
+            if let Some(machine_type) = env.machine_type(&machine_type) {
+                let rented =
+                    Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, memory_gb: machine_type.memory_gb };
                 need = shortfall(need, rented.scaled(f64::from(count)));
             }
             *machines_by_zone.entry(zone.clone()).or_default() += count;
-            self.send_rental(env, Rental { request, machine_type: kind, zone, spot, count });
+            self.send_rental(env, Rental { request, machine_type, zone, spot, count });
         }
     }
 
@@ -159,11 +169,11 @@
             .renting
             .open_rentals
             .iter()
-            .filter(|(_, at)| now.duration_since(*at) > timeout)
-            .map(|(r, _)| r.clone())
+            .filter(|(_, sent_at)| now.duration_since(*sent_at) > timeout)
+            .map(|(rental, _)| rental.clone())
             .collect();
         for rental in due {
-            self.renting.open_rentals.retain(|(r, _)| r.request != rental.request);
+            self.renting.open_rentals.retain(|(open, _)| open.request != rental.request);
             self.send_rental(env, rental);
         }
     }
@@ -185,16 +195,16 @@
     /// Handles the outcome of a rental request.
     fn rental_outcome(&mut self, env: &mut Env, rental: Rental, outcome: Outcome<CloudResponse>) {
         let now = env.steady();
-        // The request may have been carried out, so it is retried under its name.
+        // The request may have been carried out, so it stays open and is retried under its name.
         if matches!(outcome, Outcome::Unknown) {
             return;
         }
         let open_before = self.renting.open_rentals.len();
         self.renting.open_rentals.retain(|(open, _)| open.request != rental.request);
-        let already_answered = self.renting.open_rentals.len() == open_before;
+        let already_handled = self.renting.open_rentals.len() == open_before;
         let market = (rental.machine_type.clone(), rental.zone.clone(), rental.spot);
         match outcome {
-            Outcome::Responded(CloudResponse::Rented(_)) if already_answered => {}
+            Outcome::Responded(CloudResponse::Rented(_)) if already_handled => {}
             Outcome::Responded(CloudResponse::Rented(names)) => {
                 if (names.len() as u32) < rental.count {
                     self.renting.no_capacity_until.insert(market, now + NO_CAPACITY_BACKOFF);
@@ -215,10 +225,10 @@
 
     /// Adds machines that were rented and will boot.
     fn add_rented_machines(&mut self, env: &Env, rental: &Rental, names: Vec<String>) {
-        let Some(kind) = env.machine_type(&rental.machine_type) else { return };
+        let Some(machine_type) = env.machine_type(&rental.machine_type) else { return };
         for name in names {
             let name = Name::from(name.as_str());
-            let machine = || Machine::rented(name.clone(), kind, &rental.zone, rental.spot, env.steady());
+            let machine = || Machine::rented(name.clone(), machine_type, &rental.zone, rental.spot, env.steady());
             self.machines.entry(name.clone()).or_insert_with(machine);
         }
     }
@@ -253,7 +263,8 @@
         let last = listing.machines.last().map(|m| m.id.clone());
         self.renting.listing_after = last.filter(|_| listing.more);
         if self.renting.listing_after.is_some() {
-            // The next page is due at once: a fleet of thousands takes many, and nothing is rented before all are read.
+            // The next page is due at once: a fleet of thousands takes many pages, and nothing is rented before all of
+            // them are read.
             self.renting.last_listing = None;
             self.request_listing(env);
         } else {
--- a/crates/core/src/rent/demand.rs
+++ b/crates/core/src/rent/demand.rs
@@ -25,8 +25,8 @@
 struct Demand {
     /// Resources for tasks that may use spot machines.
     spot: Resources,
-    /// Resources for tasks that may not.
-    ordinary: Resources,
+    /// Resources for tasks that need on-demand machines.
+    on_demand: Resources,
     /// Resources for tasks that are limited to zones.
     zone_bound: BTreeMap<ZoneConstraint, Resources>,
 }
@@ -34,7 +34,7 @@
 impl Demand {
     /// Adds demand that is not limited to zones.
     fn add(&mut self, spot: bool, need: Resources) {
-        let total = if spot { &mut self.spot } else { &mut self.ordinary };
+        let total = if spot { &mut self.spot } else { &mut self.on_demand };
         total.add(need);
     }
 }
@@ -44,8 +44,8 @@
 struct Supply {
     /// Free resources of spot machines.
     spot: Resources,
-    /// Free resources of ordinary machines.
-    ordinary: Resources,
+    /// Free resources of on-demand machines.
+    on_demand: Resources,
     /// Free resources by zone and whether the machines are spot machines.
     zones: BTreeMap<(String, bool), Resources>,
     /// CPUs in use.
@@ -55,7 +55,7 @@
 impl Supply {
     /// Adds free resources in a zone.
     fn add(&mut self, zone: &str, spot: bool, free: Resources) {
-        let total = if spot { &mut self.spot } else { &mut self.ordinary };
+        let total = if spot { &mut self.spot } else { &mut self.on_demand };
         total.add(free);
         self.zones.entry((zone.to_owned(), spot)).or_default().add(free);
     }
@@ -73,20 +73,20 @@
 }
 
 impl Term {
-    /// Returns the number of waiting tasks of a job that its team's quota would let start, and takes them from
-    /// `quota_left`, the CPUs left to each team.
-    fn startable_tasks(&self, job: &Job, quota_left: &mut BTreeMap<String, f64>) -> f64 {
+    /// Returns the number of waiting tasks of a job that its team's limit would let start, and subtracts their CPUs
+    /// from `remaining_cpus`, the CPUs that each team may still use.
+    fn startable_tasks(&self, job: &Job, remaining_cpus: &mut BTreeMap<String, f64>) -> f64 {
         let waiting = job.waiting_tasks();
         if waiting == 0 {
             return 0.0;
         }
-        let left = quota_left
+        let team_cpus = remaining_cpus
             .entry(job.spec.team.clone())
-            .or_insert_with(|| self.quotas.usage(&job.spec.team).map_or(0.0, |u| u.team.cpus_max - u.cpus));
+            .or_insert_with(|| self.quotas.usage(&job.spec.team).map_or(0.0, |usage| usage.team.cpus_max - usage.cpus));
         let cpus = job.spec.cpus;
-        let allowed = if cpus > 0.0 { (*left / cpus).max(0.0) as u32 } else { waiting };
+        let allowed = if cpus > 0.0 { (*team_cpus / cpus).max(0.0) as u32 } else { waiting };
         let tasks = f64::from(waiting.min(allowed));
-        *left -= tasks * cpus;
+        *team_cpus -= tasks * cpus;
         tasks
     }
 
@@ -99,22 +99,22 @@
         let supply = self.supply(env);
         self.rent_zone_bound(env, &mut demand, &supply);
         let policy = env.policy.clone();
-        let largest = env.machine_types.iter().map(|t| t.cpus).fold(0.0, f64::max);
+        let largest = env.machine_types.iter().map(|machine_type| machine_type.cpus).fold(0.0, f64::max);
         let headroom = (supply.in_use * policy.headroom_share).max(policy.headroom_machines * largest);
-        demand.ordinary.cpus += self.renting.service_reserve(env);
+        demand.on_demand.cpus += self.renting.service_reserve(env);
         if !self.jobs.is_empty() {
             demand.spot.cpus += headroom;
         }
-        // Free resources of ordinary machines serve spot work too.
-        let left_over = (supply.ordinary.cpus - demand.ordinary.cpus).max(0.0);
-        self.choose_retiring(env, supply.in_use + demand.spot.cpus + demand.ordinary.cpus);
-        demand.spot.cpus = (demand.spot.cpus - left_over).max(0.0);
-        self.rent_resources(env, shortfall(demand.ordinary, supply.ordinary), false, None);
+        // The surplus of on-demand machines serves spot work too.
+        let surplus = (supply.on_demand.cpus - demand.on_demand.cpus).max(0.0);
+        self.choose_retiring(env, supply.in_use + demand.spot.cpus + demand.on_demand.cpus);
+        demand.spot.cpus = (demand.spot.cpus - surplus).max(0.0);
+        self.rent_resources(env, shortfall(demand.on_demand, supply.on_demand), false, None);
         self.rent_resources(env, shortfall(demand.spot, supply.spot), true, None);
     }
 
-    /// While a zone is evacuated, rents what each tier and the tiers before it lack before anything for a later
-    /// tier: the calls to the cloud and its machines may not suffice for all.
+    /// While a zone is evacuated, rents machines tier by tier, earlier tiers first: the calls to the cloud and its
+    /// machines may not suffice for all. The last tier is left to the caller.
     fn rent_by_tiers(&mut self, env: &mut Env) {
         if !self.is_evacuating() {
             return;
@@ -125,9 +125,9 @@
             let mut demand = self.demand(|earlier| earlier <= tier);
             let supply = self.supply(env);
             self.rent_zone_bound(env, &mut demand, &supply);
-            let left_over = (supply.ordinary.cpus - demand.ordinary.cpus).max(0.0);
-            demand.spot.cpus = (demand.spot.cpus - left_over).max(0.0);
-            self.rent_resources(env, shortfall(demand.ordinary, supply.ordinary), false, None);
+            let surplus = (supply.on_demand.cpus - demand.on_demand.cpus).max(0.0);
+            demand.spot.cpus = (demand.spot.cpus - surplus).max(0.0);
+            self.rent_resources(env, shortfall(demand.on_demand, supply.on_demand), false, None);
             self.rent_resources(env, shortfall(demand.spot, supply.spot), true, None);
         }
     }
@@ -148,7 +148,7 @@
     /// of the tiers that `includes_tier` accepts. Earlier tiers use up their teams' quotas first.
     fn demand(&self, includes_tier: impl Fn(usize) -> bool) -> Demand {
         let mut demand = Demand::default();
-        let mut quota_left = BTreeMap::new();
+        let mut remaining_cpus = BTreeMap::new();
         let evacuating = self.is_evacuating();
         let tier = |job: &Job| if evacuating { self.tier_of(job) } else { 0 };
         let mut jobs: Vec<(usize, &Job)> = self.jobs.values().map(|job| (tier(job), job)).collect();
@@ -156,7 +156,7 @@
             jobs.sort_by_key(|(tier, _)| *tier);
         }
         for (_, job) in jobs.into_iter().filter(|(tier, _)| includes_tier(*tier)) {
-            let tasks = self.startable_tasks(job, &mut quota_left);
+            let tasks = self.startable_tasks(job, &mut remaining_cpus);
             if tasks == 0.0 {
                 continue;
             }
@@ -168,11 +168,11 @@
                 None => demand.add(job.spec.spot, need),
             }
         }
-        // Tasks on partitioned machines will need other machines when their leases expire.
+        // Tasks on partitioned machines will need other machines once the leases of these expire.
         for machine in self.machines.values().filter(|m| self.will_lose_tasks(m)) {
             for (name, _) in &machine.tasks {
                 let job = &self.jobs[name];
-                // A job that is limited to the zone waits for it.
+                // A job that is limited to this zone waits until the zone returns.
                 let may_move = job.spec.zone.as_ref() != Some(&machine.zone);
                 if may_move && includes_tier(tier(job)) {
                     demand.add(job.spec.spot, Resources::of(&job.spec));
@@ -187,9 +187,9 @@
         let now = env.steady();
         let mut supply = Supply::default();
         for machine in self.machines.values().filter(|m| m.counts_as_capacity()) {
-            let boot = env.machine_type(&machine.kind).map_or(DEFAULT_BOOT_S, |k| k.boot_s);
+            let boot_s = env.machine_type(&machine.kind).map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s);
             let late =
-                !machine.up && now.duration_since(machine.known_since).as_secs_f64() > boot * LATE_AFTER_BOOT_TIMES;
+                !machine.up && now.duration_since(machine.known_since).as_secs_f64() > boot_s * LATE_AFTER_BOOT_TIMES;
             // The size of a machine known only from a record is unknown.
             if late || machine.kind.is_empty() {
                 continue;
@@ -198,8 +198,9 @@
             supply.add(&machine.zone, machine.spot, machine.total.minus(machine.used));
         }
         for (rental, _) in &self.renting.open_rentals {
-            if let Some(kind) = env.machine_type(&rental.machine_type) {
-                let machine = Resources { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
+            if let Some(machine_type) = env.machine_type(&rental.machine_type) {
+                let machine =
+                    Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, memory_gb: machine_type.memory_gb };
                 supply.add(&rental.zone, rental.spot, machine.scaled(f64::from(rental.count)));
             }
         }
--- a/crates/core/src/rent/releases.rs
+++ b/crates/core/src/rent/releases.rs
@@ -20,13 +20,13 @@
 };
 
 impl Term {
-    /// Chooses the machines to retire, such that the others have at least `needed_cpus`: the CPUs in use, of
-    /// waiting tasks and kept free.
+    /// Chooses the machines to retire, such that the others have at least `needed_cpus`: the CPUs in use, those for
+    /// waiting tasks and those kept free.
     pub(super) fn choose_retiring(&mut self, env: &mut Env, needed_cpus: f64) {
         let now = env.steady();
         let window = env.policy.idle_timeout;
         self.renting.recent_needs.push_back((now, needed_cpus));
-        while self.renting.recent_needs.front().is_some_and(|(t, _)| now.duration_since(*t) > window) {
+        while self.renting.recent_needs.front().is_some_and(|(time, _)| now.duration_since(*time) > window) {
             self.renting.recent_needs.pop_front();
         }
         let mut kept_cpus: f64 = self.machines.values().filter(|m| m.counts_as_capacity()).map(|m| m.total.cpus).sum();
@@ -36,15 +36,17 @@
             .filter(|m| m.up && m.counts_as_capacity())
             .map(|m| (m.hosts_service(), m.spot, self.seconds_until_empty(now, m), m.name.clone()))
             .collect();
-        // Machines with replicas last, since replicas end only with their service; otherwise ordinary machines
-        // first, which cost more, and of those the ones that will be empty the soonest.
-        candidates.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.cmp(&b.1)).then(a.2.total_cmp(&b.2)));
-        // Tasks that may not use spot machines must fit on the ordinary machines that stay.
-        let ordinary_jobs = self.jobs.values().filter(|job| !job.spec.spot);
-        let ordinary_cpus_in_use: f64 = ordinary_jobs.map(|job| job.spec.cpus * job.placements.len() as f64).sum();
-        let needed_ordinary_cpus = ordinary_cpus_in_use + self.renting.service_reserve(env);
-        let ordinary_machines = self.machines.values().filter(|m| m.counts_as_capacity() && !m.spot);
-        let mut kept_ordinary_cpus: f64 = ordinary_machines.map(|m| m.total.cpus).sum();
+        // Machines with replicas last, since replicas end only with their service. Then on-demand machines first, since
+        // they cost more, and of equal ones those that will be empty soonest.
+        candidates.sort_by(|(service, spot, empty_s, _), (other_service, other_spot, other_empty_s, _)| {
+            service.cmp(other_service).then(spot.cmp(other_spot)).then(empty_s.total_cmp(other_empty_s))
+        });
+        // Tasks that may not use spot machines must fit on the on-demand machines that stay.
+        let on_demand_jobs = self.jobs.values().filter(|job| !job.spec.spot);
+        let on_demand_cpus_in_use: f64 = on_demand_jobs.map(|job| job.spec.cpus * job.placements.len() as f64).sum();
+        let needed_on_demand_cpus = on_demand_cpus_in_use + self.renting.service_reserve(env);
+        let on_demand_machines = self.machines.values().filter(|m| m.counts_as_capacity() && !m.spot);
+        let mut kept_on_demand_cpus: f64 = on_demand_machines.map(|m| m.total.cpus).sum();
         let mut retiring = BTreeSet::new();
         for (_, spot, _, name) in candidates {
             let cpus = self.machines[&name].total.cpus;
@@ -52,10 +54,10 @@
                 break;
             }
             if !spot {
-                if kept_ordinary_cpus - cpus < needed_ordinary_cpus {
+                if kept_on_demand_cpus - cpus < needed_on_demand_cpus {
                     continue;
                 }
-                kept_ordinary_cpus -= cpus;
+                kept_on_demand_cpus -= cpus;
             }
             kept_cpus -= cpus;
             retiring.insert(name);
@@ -65,14 +67,14 @@
         }
     }
 
-    /// Whether the job has waiting tasks that its team's quota would let start.
+    /// Whether the job has waiting tasks that its team's limit would let start.
     fn has_startable_tasks(&self, job: &Job) -> bool {
         let usage = self.quotas.usage(&job.spec.team);
-        job.waiting_tasks() > 0 && usage.is_some_and(|u| u.headroom(Resources::of(&job.spec)) > 0)
+        job.waiting_tasks() > 0 && usage.is_some_and(|usage| usage.headroom(Resources::of(&job.spec)) > 0)
     }
 
-    /// Empties the retiring machine with the least load by moving its replicas and the tasks that save their
-    /// progress. One machine at a time, while no task waits and if the other machines have the free resources.
+    /// Empties the retiring machine with the least load by moving its replicas and its tasks with checkpoints. Only one
+    /// machine is emptied at a time, while no task waits, and only if the other machines have enough free resources.
     pub(super) fn drain_retiring(&mut self, env: &mut Env) {
         let now = env.steady();
         // Running tasks are not moved while a zone is unhealthy or returning.
@@ -90,25 +92,25 @@
             free.push((machine, self.free_resources(machine)));
         }
         // The fullest machines first, so that the others can be released.
-        free.sort_by(|a, b| a.1.cpus.total_cmp(&b.1.cpus));
+        free.sort_by(|(_, free), (_, other_free)| free.cpus.total_cmp(&other_free.cpus));
         let mut best: Option<(f64, Vec<(TaskKey, Name)>)> = None;
         for machine in self.machines.values().filter(|m| m.retiring && !m.tasks.is_empty()) {
             let used = machine.used.cpus;
             let replicas = f64::from(machine.service_replicas());
-            if replicas > self.renting.move_budget || best.as_ref().is_some_and(|(least_used, _)| used >= *least_used) {
+            if replicas > self.renting.move_budget || best.as_ref().is_some_and(|(best_used, _)| used >= *best_used) {
                 continue;
             }
             let Some(tasks) = self.tasks_to_move(now, machine) else { continue };
             let count = tasks.len();
-            let mut free_left = free.clone();
+            let mut remaining_free = free.clone();
             let mut targets: BTreeSet<&Name> = BTreeSet::new();
             let mut plan = Vec::new();
             for key in tasks {
                 let job = &self.jobs[&key.0];
                 let need = Resources::of(&job.spec);
-                let target = free_left.iter_mut().find(|(m, free)| {
-                    let may_take = job.spec.kind == Kind::Array || can_take_replica(m, machine, job, &targets);
-                    free.can_fit(need) && may_take && m.images.contains(&job.spec.image)
+                let target = remaining_free.iter_mut().find(|(target, free)| {
+                    let may_take = job.spec.kind == Kind::Array || can_take_replica(target, machine, job, &targets);
+                    free.can_fit(need) && may_take && target.images.contains(&job.spec.image)
                 });
                 let Some((target, free)) = target else { break };
                 free.sub(need);
@@ -122,36 +124,40 @@
             }
         }
         let Some((_, moves)) = best else { return };
-        let place = &self.jobs[&moves[0].0.0].placements[&moves[0].0.1];
-        tracing::info!(machine = &*place.machine, tasks = moves.len(), "moving the tasks of a machine to release it");
+        let placement = &self.jobs[&moves[0].0.0].placements[&moves[0].0.1];
+        tracing::info!(
+            machine = &*placement.machine,
+            tasks = moves.len(),
+            "moving the tasks of a machine to release it"
+        );
         for ((job, task), target) in moves {
             let spec = self.jobs[&job].spec.clone();
             if spec.kind == Kind::Service {
                 self.renting.move_budget -= 1.0;
                 let until = now + CLAIM_DURATION;
-                let claim =
+                let reservation =
                     Reservation { job: job.clone(), resources: Resources::of(&spec), until, by_preemption: true };
-                self.machines.get_mut(&target).expect("a target").reservation = Some(claim);
+                self.machines.get_mut(&target).expect("a target").reservation = Some(reservation);
             }
             self.stop_task(env, &job, task, spec.save_s);
         }
     }
 
-    /// Returns the tasks whose move makes a machine empty soon; `None` if moves would not do so, or if none is
+    /// Returns the tasks to move so that the machine is soon empty; `None` if moves cannot achieve that or are not
     /// needed.
     fn tasks_to_move(&self, now: Instant, machine: &Machine) -> Option<Vec<TaskKey>> {
         let mut tasks = Vec::new();
         for (name, task) in &machine.tasks {
             let job = &self.jobs[name];
-            let place = &job.placements[task];
-            let ran_s = now.duration_since(place.running_since?).as_secs_f64();
+            let placement = &job.placements[task];
+            let ran_s = now.duration_since(placement.running_since?).as_secs_f64();
             let remaining_s = job.mean_run_s - ran_s;
-            if place.stop.is_some() {
+            if placement.stop.is_some() {
                 continue;
             }
-            // A task that saves its progress but ends soon is left to end: that takes less time.
-            let saves = job.spec.checkpoint_interval_s > 0.0 && remaining_s > MIN_RUN_BEFORE_MOVE_S;
-            let movable = job.spec.kind == Kind::Service || saves;
+            // A task with checkpoints that ends soon is left to end: that takes less time.
+            let worth_moving = job.spec.checkpoint_interval_s > 0.0 && remaining_s > MIN_RUN_BEFORE_MOVE_S;
+            let movable = job.spec.kind == Kind::Service || worth_moving;
             if movable && ran_s > MIN_RUN_BEFORE_MOVE_S {
                 tasks.push((name.clone(), *task));
             } else if job.spec.kind == Kind::Service || remaining_s > MIN_RUN_BEFORE_MOVE_S / 2.0 {
@@ -168,7 +174,8 @@
         }
         let remaining_s = machine.tasks.iter().filter_map(|(name, task)| {
             let job = self.jobs.get(name)?;
-            let ran_s = job.placements.get(task)?.running_since.map_or(0.0, |t| now.duration_since(t).as_secs_f64());
+            let ran_s =
+                job.placements.get(task)?.running_since.map_or(0.0, |start| now.duration_since(start).as_secs_f64());
             Some((job.mean_run_s - ran_s).max(1.0))
         });
         remaining_s.fold(0.0, f64::max)
@@ -179,7 +186,7 @@
     pub(super) fn release_idle(&mut self, env: &mut Env, now: Instant) {
         let mut to_release = Vec::new();
         for machine in self.machines.values() {
-            let boot_s = env.machine_type(&machine.kind).map_or(60.0, |k| k.boot_s.max(1.0));
+            let boot_s = env.machine_type(&machine.kind).map_or(60.0, |machine_type| machine_type.boot_s.max(1.0));
             let age_s = now.duration_since(machine.known_since).as_secs_f64();
             if machine.releasing {
                 if machine.release_sent.is_none() {
@@ -192,14 +199,14 @@
                 to_release.push(machine.name.clone());
             }
         }
-        let waiting: Vec<(&Job, Option<Vec<String>>)> = self
+        let startable_jobs: Vec<(&Job, Option<Vec<String>>)> = self
             .jobs
             .values()
             .filter(|job| self.has_startable_tasks(job))
             .map(|job| (job, self.allowed_zones(job)))
             .collect();
-        let is_wanted = |machine: &Machine| {
-            waiting.iter().any(|(job, zones)| {
+        let is_usable = |machine: &Machine| {
+            startable_jobs.iter().any(|(job, zones)| {
                 meets_constraints(&job.spec, machine)
                     && zones.as_ref().is_none_or(|zones| zones.contains(&machine.zone))
             })
@@ -207,15 +214,15 @@
         let mut idle: Vec<&Machine> = self
             .machines
             .values()
-            .filter(|m| m.up && m.counts_as_capacity() && m.tasks.is_empty() && !is_wanted(m))
-            // Not those reserved for a task that moves there.
+            .filter(|m| m.up && m.counts_as_capacity() && m.tasks.is_empty() && !is_usable(m))
+            // Excludes machines reserved for a task that moves there.
             .filter(|m| m.total.minus(self.free_resources(m)).is_zero())
             .filter(|m| m.retiring && now.duration_since(m.known_since) > MIN_CHARGED_TIME)
             .collect();
-        // Ordinary machines first: they cost more.
+        // On-demand machines first, since they cost more.
         idle.sort_by_key(|m| m.spot);
-        // The highest need within the window counts: after a short lull new machines would have to boot.
-        let needed_cpus = self.renting.recent_needs.iter().map(|(_, n)| *n).fold(0.0, f64::max);
+        // The highest need within the idle timeout counts: after a short lull, new machines would have to boot.
+        let needed_cpus = self.renting.recent_needs.iter().map(|(_, cpus)| *cpus).fold(0.0, f64::max);
         let mut kept_cpus: f64 = self.machines.values().filter(|m| m.counts_as_capacity()).map(|m| m.total.cpus).sum();
         for machine in idle {
             if kept_cpus - machine.total.cpus >= needed_cpus {
@@ -224,7 +231,7 @@
             }
         }
         for name in to_release {
-            let machine = self.machines.get_mut(&name).expect("listed");
+            let machine = self.machines.get_mut(&name).expect("the machine was just listed");
             machine.releasing = true;
             self.renting.queue_release(name);
         }
@@ -235,7 +242,7 @@
         let renting = &mut self.renting;
         if renting.release_in_flight
             || renting.to_release.is_empty()
-            || renting.release_retry_at.is_some_and(|t| t > now)
+            || renting.release_retry_at.is_some_and(|retry_at| retry_at > now)
         {
             return;
         }
@@ -252,16 +259,17 @@
             }
         }
         renting.release_in_flight = true;
-        let list = names.iter().map(|n| n.to_string()).collect();
-        env.call_cloud(Purpose::Rent(RentCall::Release(names)), CloudOp::Release(list));
+        let machines = names.iter().map(|name| name.to_string()).collect();
+        env.call_cloud(Purpose::Rent(RentCall::Release(names)), CloudOp::Release(machines));
     }
 }
 
-/// Whether a machine can take a moved replica: it is in the same zone and has no other replica of the service.
-fn can_take_replica(target: &Machine, from: &Machine, job: &Job, taken: &BTreeSet<&Name>) -> bool {
+/// Whether a machine can take a replica moved from another one: it is in the same zone, meets the job's constraints,
+/// and neither has a replica of the service nor is among the targets of other replicas.
+fn can_take_replica(target: &Machine, source: &Machine, job: &Job, other_targets: &BTreeSet<&Name>) -> bool {
     let key = |task| (job.id.clone(), task);
-    target.zone == from.zone
+    target.zone == source.zone
         && meets_constraints(&job.spec, target)
-        && !taken.contains(&target.name)
+        && !other_targets.contains(&target.name)
         && target.tasks.range(key(0)..=key(u32::MAX)).next().is_none()
 }
--- a/crates/core/src/rent/renting.rs
+++ b/crates/core/src/rent/renting.rs
@@ -12,7 +12,7 @@
 /// Weight of a new job in the moving average of service sizes.
 const SERVICE_SIZE_WEIGHT: f64 = 0.2;
 
-/// Machine type, zone and whether spot: the cloud's capacity and prices are per market.
+/// Machine type, zone and whether the machines are spot machines. The cloud has a price and a capacity per market.
 pub(super) type Market = (String, String, bool);
 
 /// Rentals and releases of a term.
@@ -20,7 +20,7 @@
 pub(crate) struct RentalState {
     /// Number of the last rental request of this term.
     pub(super) request_serial: u64,
-    /// Rental requests without a response, and when they were sent; retried under their name until there is one.
+    /// Rental requests without a response, and when they were last sent. They are retried under the same name.
     pub(super) open_rentals: Vec<(Rental, Instant)>,
     /// Markets without capacity, and when they may be tried again.
     pub(super) no_capacity_until: BTreeMap<Market, Instant>,
@@ -30,9 +30,9 @@
     pub(super) release_retry_at: Option<Instant>,
     /// Whether a release request has no outcome yet.
     pub(super) release_in_flight: bool,
-    /// Machines that have ended, the oldest first.
+    /// Machines that were removed from the fleet, the first removed first.
     pub(super) removed: VecDeque<Name>,
-    /// The same machines, for lookups.
+    /// The same names, for fast checks.
     pub(super) removed_names: HashSet<Name>,
     /// Whether a listing request has no outcome yet.
     pub(super) listing_in_flight: bool,
@@ -42,7 +42,7 @@
     pub(super) listing_after: Option<String>,
     /// Whether a complete list of the cloud's machines has been read in this term.
     pub fleet_listed: bool,
-    /// Total CPUs needed, sampled over the idle window.
+    /// Total CPUs needed at each tick, over the period of the idle timeout.
     pub(super) recent_needs: VecDeque<(Instant, f64)>,
     /// Number of replicas that may be moved now.
     pub(super) move_budget: f64,
@@ -53,17 +53,17 @@
 }
 
 impl RentalState {
-    /// Whether the machine has ended.
+    /// Whether the machine was removed from the fleet.
     pub fn was_removed(&self, name: &Name) -> bool {
         self.removed_names.contains(name)
     }
 
-    /// Remembers that a machine has ended, and forgets the oldest beyond `keep`.
-    pub fn remember_removed(&mut self, name: &Name, keep: usize) {
+    /// Remembers that a machine was removed from the fleet, and forgets the oldest names beyond `max_names`.
+    pub fn remember_removed(&mut self, name: &Name, max_names: usize) {
         if self.removed_names.insert(name.clone()) {
             self.removed.push_back(name.clone());
         }
-        while self.removed.len() > keep {
+        while self.removed.len() > max_names {
             if let Some(oldest) = self.removed.pop_front() {
                 self.removed_names.remove(&oldest);
             }
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Returns the CPUs on ordinary machines that are kept free for services.
+    /// Returns the CPUs on on-demand machines that are kept free for services.
     pub fn service_reserve(&self, env: &Env) -> f64 {
         self.mean_service_cpus * env.policy.service_reserve
     }
