--- a/crates/core/src/users.rs
+++ b/crates/core/src/users.rs
@@ -1,7 +1,7 @@
 //! Users' requests, which any node serves.
 //!
-//! Responses reflect the state service: a submission is confirmed once it is durable, and a cached state
-//! that is not final is validated there again. Final states are served from the cache, since they never change.
+//! Responses reflect the state service: a submission is confirmed once it is durable, and a cached state that is not
+//! final is validated there before it is returned. Final states are served from the cache, since they never change.
 
 mod cache;
 mod cancel;
@@ -48,18 +48,18 @@
         true
     }
 
-    /// Responds to a request unless that was done before.
-    fn respond(&mut self, request: RequestId, answer: HttpResponse) {
+    /// Responds to a request unless it already has a response.
+    fn respond(&mut self, request: RequestId, response: HttpResponse) {
         if self.users.pending.remove(&request).is_some() {
-            self.env.respond(request, answer);
+            self.env.respond(request, response);
         }
     }
 
     /// Handles a query for a job's status.
     pub(crate) fn status(&mut self, request: RequestId, id: String) {
         if let Some(cached) = self.users.final_state(&id) {
-            let answer = self.job_view(&id, &cached);
-            self.env.respond(request, answer);
+            let response = self.job_view(&id, &cached);
+            self.env.respond(request, response);
             return;
         }
         if self.admit_request(request, QUERY_TIMEOUT) {
@@ -92,9 +92,7 @@
             UserCall::Compare { jobs } => self.comparison_outcome(jobs, outcome),
             UserCall::Read { job, requests } => self.read_outcome(job, requests, outcome),
             UserCall::Refresh { job, group } => self.refresh_outcome(&job, group, outcome),
-            UserCall::Dependencies { admission, queried: asked } => {
-                self.dependencies_outcome(admission, asked, outcome)
-            }
+            UserCall::Dependencies { admission, queried } => self.dependencies_outcome(admission, queried, outcome),
             UserCall::Create(creation) => self.create_outcome(creation, outcome),
             UserCall::Refuse { request, job, answer } => self.refuse_outcome(request, job, answer, outcome),
             UserCall::CancelRead { request, job } => self.cancel_read_outcome(request, job, outcome),
@@ -102,8 +100,8 @@
         }
     }
 
-    /// Responds to requests that take too long while their users still wait, and to all pending ones while the
-    /// state service is down.
+    /// Responds to requests whose time limit has passed, before their users give up, and to all pending ones while
+    /// the state service is down.
     pub(crate) fn expire_user_requests(&mut self) {
         let now = self.env.steady();
         let down = self.store_health.is_down(now);
@@ -111,7 +109,7 @@
             .users
             .pending
             .iter()
-            .filter(|(_, until)| down || **until <= now)
+            .filter(|(_, deadline)| down || **deadline <= now)
             .map(|(request_id, _)| *request_id)
             .collect();
         for request_id in expired {
--- a/crates/core/src/users/cache.rs
+++ b/crates/core/src/users/cache.rs
@@ -1,4 +1,4 @@
-//! A node's cache of job records, for quick responses. The number of jobs and of dependencies in it is bounded.
+//! A node's cache of job records, for quick responses. The total number of jobs and dependencies in it is bounded.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -34,7 +34,8 @@
 pub(super) enum Ancestors {
     /// At least one of them is cancelled, and with it the job.
     Cancelled,
-    /// Ancestors that are not known to have ended. Ancestors of jobs that are not cached are missing.
+    /// Ancestors that are not known to have ended. The list is incomplete if one of them is not cached, since its
+    /// own dependencies are then unknown.
     Open(Vec<String>),
 }
 
@@ -101,13 +102,13 @@
         }
     }
 
-    /// Returns the open jobs that a job depends on, directly or indirectly.
+    /// Returns the state of the jobs that a job depends on, directly or indirectly.
     pub fn ancestors(&self, cached: &CachedJob) -> Ancestors {
         let mut open = Vec::new();
-        let mut seen: BTreeSet<&String> = BTreeSet::new();
+        let mut visited: BTreeSet<&String> = BTreeSet::new();
         let mut unvisited: Vec<&String> = cached.dependencies.iter().collect();
         while let Some(id) = unvisited.pop() {
-            if !seen.insert(id) {
+            if !visited.insert(id) {
                 continue;
             }
             match self.jobs.get(id) {
--- a/crates/core/src/users/cancel.rs
+++ b/crates/core/src/users/cancel.rs
@@ -13,8 +13,8 @@
     /// Handles a user's cancellation of a job.
     pub(crate) fn cancel(&mut self, request: RequestId, id: String) {
         if let Some(cached) = self.users.final_state(&id) {
-            let answer = self.job_view(&id, &cached);
-            self.env.respond(request, answer);
+            let response = self.job_view(&id, &cached);
+            self.env.respond(request, response);
             return;
         }
         if self.admit_request(request, CHANGE_TIMEOUT) {
@@ -28,7 +28,7 @@
         self.env.call_store(Purpose::User(UserCall::CancelRead { request, job }), Urgency::High, op);
     }
 
-    /// Handles the outcome of `read_to_cancel`.
+    /// Handles the outcome of the read before a cancellation.
     pub(super) fn cancel_read_outcome(&mut self, request: RequestId, job: String, outcome: Outcome<StoreResponse>) {
         match outcome {
             Outcome::Responded(StoreResponse::Item(Some(item))) => self.write_cancellation(request, job, item),
@@ -52,7 +52,7 @@
         let tasks = live.spec.tasks;
         let mut value = serde_json::to_value(&live).expect("records always encode");
         if value.to_string().len() > self.env.facts.value_bytes {
-            // The record was written under a larger limit on values; a cancelled job needs neither list.
+            // The record was written under a larger limit on values. A cancelled job needs neither of these lists.
             live.spec.types = None;
             live.spec.dependencies.clear();
             value = serde_json::to_value(live).expect("records always encode");
@@ -68,7 +68,7 @@
         self.env.call_store(Purpose::User(call), Urgency::High, StoreOp::Txn(txn));
     }
 
-    /// Handles the outcome of `write_cancellation`.
+    /// Handles the outcome of writing a cancellation.
     pub(super) fn cancel_write_outcome(
         &mut self,
         request: RequestId,
--- a/crates/core/src/users/lookup.rs
+++ b/crates/core/src/users/lookup.rs
@@ -3,9 +3,9 @@
 //! Before a cached state that is not final is returned, its version is compared in the state service, and so
 //! are the versions of all open ancestors, since a job is cancelled when one of them is.
 //!
-//! This prevents stale responses. A round serves only requests that came before its comparisons were sent:
-//! another node may have returned a newer state since. A job that is not cached is reported missing only
-//! after a comparison found its key absent. A job is reported open only after all its open ancestors were
+//! This prevents stale responses. A round serves only requests that arrived before its comparisons were sent, since
+//! another node may have returned a newer state to a user after that. A job that is not cached is reported missing
+//! only after a comparison found its key absent. A job is reported open only after all its open ancestors were
 //! compared, however many there are.
 
 use std::collections::BTreeSet;
@@ -74,10 +74,10 @@
 
     /// Takes the lookups of the next round from the queue, and returns them with the jobs to compare.
     ///
-    /// The first lookup may need more than one transaction. Others are added while its transactions can take
-    /// their conditions, as for the jobs of a long chain, which have the same ancestors.
+    /// The first lookup may need more than one transaction. Others are added while their conditions fit into the same
+    /// transactions, as those of jobs in one long chain do, which have most ancestors in common.
     fn next_lookups(&mut self) -> (Vec<Lookup>, BTreeSet<String>) {
-        let per_transaction = self.max_conditions();
+        let max_conditions = self.max_conditions();
         let (mut lookups, mut compared) = (Vec::new(), BTreeSet::new());
         let mut max_compared = 0;
         while let Some(job) = self.users.lookups.queue.pop_front() {
@@ -88,7 +88,7 @@
             };
             let added = ancestors.iter().chain([&job]).filter(|id| !compared.contains(*id)).count();
             if lookups.is_empty() {
-                max_compared = added.next_multiple_of(per_transaction);
+                max_compared = added.next_multiple_of(max_conditions);
             } else if compared.len() + added > max_compared {
                 self.users.lookups.queue.push_front(job);
                 break;
@@ -121,17 +121,17 @@
         }
     }
 
-    /// Responds to the requests of a round whose jobs are validated, and continues with the others.
+    /// Responds to the requests of a round whose jobs are validated, and reads or looks up the other jobs again.
     fn end_round(&mut self, round: LookupRound) {
         let LookupRound { lookups, unchanged, changed, call_failed, .. } = round;
         let mut refresh = AncestorRefresh::default();
         let mut stale: BTreeSet<String> = BTreeSet::new();
         for Lookup { job, cached, ancestors, requests } in lookups {
-            let before = stale.len();
+            let stale_before = stale.len();
             stale.extend(ancestors.iter().filter(|id| changed.contains(*id)).cloned());
             if changed.contains(&job) {
                 self.read(job, requests);
-            } else if stale.len() > before || ancestors.iter().any(|id| stale.contains(id)) {
+            } else if stale.len() > stale_before || ancestors.iter().any(|id| stale.contains(id)) {
                 refresh.lookups.push((job, requests));
             } else if unchanged.contains(&job) && ancestors.iter().all(|id| unchanged.contains(id)) {
                 self.respond_with_job(&job, cached, requests);
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Reads stale ancestors again. Those beyond the limit are found changed by the next round.
+    /// Reads stale ancestors again. The next round finds those beyond the limit to have changed.
     fn refresh(&mut self, mut refresh: AncestorRefresh, stale: BTreeSet<String>) {
         self.users.lookups.last_refresh += 1;
         let group = self.users.lookups.last_refresh;
@@ -187,7 +187,7 @@
         self.env.call_store(Purpose::User(UserCall::Read { job, requests }), Urgency::High, op);
     }
 
-    /// Handles the outcome of `read`.
+    /// Handles the outcome of reading a job's record.
     pub(super) fn read_outcome(&mut self, job: String, requests: Vec<RequestId>, outcome: Outcome<StoreResponse>) {
         match outcome {
             Outcome::Responded(StoreResponse::Item(None)) => self.respond_with_job(&job, None, requests),
@@ -210,12 +210,12 @@
         }
     }
 
-    /// Responds to requests that came before `read` was validated or read. The cache may hold a newer state by
-    /// now.
-    pub(super) fn respond_with_job(&mut self, id: &str, read: Option<CachedJob>, requests: Vec<RequestId>) {
-        let candidates = self.users.cache.get(id).cloned().into_iter().chain(read);
+    /// Responds to requests with a state that was validated or read after they arrived; `None` if there is no such job.
+    /// A newer state may have been cached since.
+    pub(super) fn respond_with_job(&mut self, id: &str, current: Option<CachedJob>, requests: Vec<RequestId>) {
+        let candidates = self.users.cache.get(id).cloned().into_iter().chain(current);
         let newest = candidates.max_by_key(|cached| (cached.version, cached.state != RecordState::Open));
-        let answer = match newest {
+        let response = match newest {
             Some(cached) => {
                 let cached = self.users.apply_ancestor_cancellation(id, cached);
                 self.job_view(id, &cached)
@@ -223,7 +223,7 @@
             None => HttpResponse::error(404, "no such job"),
         };
         for request in requests {
-            self.respond(request, answer.clone());
+            self.respond(request, response.clone());
         }
     }
 
--- a/crates/core/src/users/lookup_queue.rs
+++ b/crates/core/src/users/lookup_queue.rs
@@ -10,9 +10,9 @@
 pub(super) struct Lookup {
     /// The job's id.
     pub(super) job: String,
-    /// Its cached state when the comparison was sent; the cache may evict it meanwhile.
+    /// Its cached state when the comparison was sent. The cache may have evicted it since.
     pub(super) cached: Option<CachedJob>,
-    /// Open jobs that it depends on, directly or indirectly.
+    /// Open jobs that it depends on, directly or indirectly, according to the cache.
     pub(super) ancestors: Vec<String>,
     /// The requests that wait for it.
     pub(super) requests: Vec<RequestId>,
@@ -25,9 +25,9 @@
     pub(super) lookups: Vec<Lookup>,
     /// Number of transactions that have no outcome yet.
     pub(super) outstanding: usize,
-    /// Jobs whose cached versions are current.
+    /// Jobs whose cached versions were found current.
     pub(super) unchanged: BTreeSet<String>,
-    /// Jobs whose cached versions are out of date.
+    /// Jobs whose cached versions were found out of date.
     pub(super) changed: BTreeSet<String>,
     /// Whether a transaction had no usable response.
     pub(super) call_failed: bool,
@@ -44,7 +44,7 @@
     pub(super) failed: bool,
 }
 
-/// All lookups of a node.
+/// The lookups of a node: those queued, those of the round under way, and those that wait for refreshes.
 #[derive(Default)]
 pub(super) struct LookupQueue {
     /// Requests of the queued lookups, by job.
--- a/crates/core/src/users/state.rs
+++ b/crates/core/src/users/state.rs
@@ -15,11 +15,11 @@
 pub(crate) struct UserRequests {
     /// Cached job records.
     pub(super) cache: JobCache,
-    /// Validated reads.
+    /// Lookups of job states, which are validated in the state service.
     pub(super) lookups: LookupQueue,
-    /// Numbers of done and of running tasks by job, as the leader sent them, for display.
+    /// Numbers of done and running tasks by job, as the leader last sent them, for display.
     pub(super) progress: HashMap<String, (u32, u32)>,
-    /// Whether the leader has as many unfinished jobs as it can hold, so that submissions are rejected.
+    /// Whether the leader has reached its limit of unfinished jobs, so that submissions are rejected.
     pub job_limit_reached: bool,
     /// Requests without a response, and when they time out.
     pub(super) pending: BTreeMap<RequestId, Instant>,
@@ -42,7 +42,7 @@
         Some(self.apply_ancestor_cancellation(id, cached)).filter(|cached| cached.state != RecordState::Open)
     }
 
-    /// Stores the progress of jobs for display, and clears older entries beyond `max_jobs`.
+    /// Stores the progress of jobs for display. First clears all entries if there are more than `max_jobs`.
     pub fn update_progress(&mut self, progress: Vec<Progress>, max_jobs: usize) {
         if self.progress.len() > max_jobs {
             self.progress.clear();
--- a/crates/core/src/users/submit.rs
+++ b/crates/core/src/users/submit.rs
@@ -1,8 +1,7 @@
 //! Submissions: validated, created exactly once, and confirmed when they are durable.
 //!
-//! An accepted job is never rejected when its submission is repeated: before a rejection the job's own record
-//! is read, whatever is wrong with the submission. A job is created only when all its dependencies are known
-//! to have been accepted.
+//! An accepted job is never rejected when its submission is repeated: before every rejection, whatever its reason,
+//! the job's own record is read. A job is created only when all its dependencies are known to have been accepted.
 
 use std::collections::BTreeSet;
 
@@ -20,7 +19,7 @@
 
 /// Largest number of dependencies checked by one transaction, if the state service allows as many conditions.
 const MAX_DEPENDENCY_CONDITIONS: usize = 48;
-/// Largest size of a transaction. The one that creates a job writes the list of dependencies twice.
+/// Largest size of a transaction. The one that creates a job writes the job's list of dependencies twice.
 const MAX_TRANSACTION_BYTES: usize = 60 * 1024;
 /// Bytes that a cancellation may add to a job's live record.
 const CANCELLATION_EXTRA_BYTES: usize = 16;
@@ -29,8 +28,8 @@
     /// Handles a user's submission of a job.
     pub(crate) fn submit(&mut self, request: RequestId, spec: JobSpec) {
         if let Some(cached) = self.users.final_state(&spec.id) {
-            let answer = self.job_view(&spec.id, &cached);
-            self.env.respond(request, answer);
+            let response = self.job_view(&spec.id, &cached);
+            self.env.respond(request, response);
             return;
         }
         if self.users.cache.contains(&spec.id) {
@@ -48,24 +47,24 @@
         }
         match check_runnable(&self.env, &spec).and_then(|()| check_storable(&self.env, &spec)) {
             Ok(()) => self.admit(Admission { request, spec: Box::new(spec), accepted: BTreeSet::new() }),
-            Err(refusal) => self.refuse(request, spec.id, refusal.answer()),
+            Err(refusal) => self.refuse(request, spec.id, refusal.response()),
         }
     }
 
-    /// Creates a job, or first checks for the records of the dependencies that this node has not cached.
+    /// Creates a job, after checking that records exist for the dependencies that this node has not cached.
     fn admit(&mut self, admission: Admission) {
         let Admission { request, spec, accepted } = &admission;
         let max_conditions = MAX_DEPENDENCY_CONDITIONS.min(self.env.facts.txn_ops * 4);
         let unknown = |id: &&String| !self.users.cache.contains(id) && !accepted.contains(*id);
-        let asked: Vec<String> = spec.dependencies.iter().filter(unknown).take(max_conditions).cloned().collect();
-        if asked.is_empty() {
+        let queried: Vec<String> = spec.dependencies.iter().filter(unknown).take(max_conditions).cloned().collect();
+        if queried.is_empty() {
             let request = *request;
             self.create(request, *admission.spec);
             return;
         }
-        // The transaction succeeds if none of the records exists, and otherwise names those that do.
-        let txn = asked.iter().fold(Txn::default(), |txn, id| txn.when(job_key(id), 0));
-        let call = UserCall::Dependencies { admission, queried: asked };
+        // The transaction succeeds if none of the records exists. Otherwise the response names some that do.
+        let txn = queried.iter().fold(Txn::default(), |txn, id| txn.when(job_key(id), 0));
+        let call = UserCall::Dependencies { admission, queried };
         self.env.call_store(Purpose::User(call), Urgency::High, StoreOp::Txn(txn));
     }
 
@@ -73,19 +72,19 @@
     pub(super) fn dependencies_outcome(
         &mut self,
         mut admission: Admission,
-        asked: Vec<String>,
+        queried: Vec<String>,
         outcome: Outcome<StoreResponse>,
     ) {
         let request = admission.request;
         match outcome {
             Outcome::Responded(StoreResponse::Committed(_)) => {
-                let refusal = Refusal::UnknownDependency(asked.into_iter().next().unwrap_or_default());
-                self.refuse(request, admission.spec.id, refusal.answer());
+                let refusal = Refusal::UnknownDependency(queried.into_iter().next().unwrap_or_default());
+                self.refuse(request, admission.spec.id, refusal.response());
             }
             Outcome::Responded(StoreResponse::ConditionsFailed(failed)) => {
                 let accepted_before = admission.accepted.len();
                 let exists = |id: &String| failed.contains(&job_key(id));
-                admission.accepted.extend(asked.into_iter().filter(exists));
+                admission.accepted.extend(queried.into_iter().filter(exists));
                 if admission.accepted.len() == accepted_before {
                     self.respond(request, store_unresponsive());
                 } else if self.users.pending.contains_key(&request) {
@@ -96,29 +95,29 @@
         }
     }
 
-    /// Writes a job's records, or rejects the job while the leader takes no more.
+    /// Writes a job's records, or rejects the job while the leader has reached its limit of unfinished jobs.
     fn create(&mut self, request: RequestId, spec: JobSpec) {
-        let (job, tasks, awaits) = (spec.id.clone(), spec.tasks, spec.dependencies.clone());
+        let (job, tasks, dependencies) = (spec.id.clone(), spec.tasks, spec.dependencies.clone());
         if self.users.job_limit_reached {
             self.refuse(request, job, HttpResponse::later(429, "too many unfinished jobs"));
             return;
         }
-        let record = JobRecord { state: RecordState::Open, tasks, dependencies: awaits.clone() };
+        let record = JobRecord { state: RecordState::Open, tasks, dependencies: dependencies.clone() };
         let live = LiveRecord { submitted_ms: self.env.now.wall_ms, cancelled: false, spec };
         let txn = Txn::default()
             .when(job_key(&job), 0)
             .put(job_key(&job), serde_json::to_value(record).expect("records always encode"))
             .put(live_key(&job), serde_json::to_value(live).expect("records always encode"));
-        let call = UserCall::Create(Creation { request, job, tasks, dependencies: awaits.into() });
+        let call = UserCall::Create(Creation { request, job, tasks, dependencies: dependencies.into() });
         self.env.call_store(Purpose::User(call), Urgency::High, StoreOp::Txn(txn));
     }
 
     /// Handles the outcome of a job's creation.
     pub(super) fn create_outcome(&mut self, creation: Creation, outcome: Outcome<StoreResponse>) {
-        let Creation { request, job, tasks, dependencies: awaits } = creation;
+        let Creation { request, job, tasks, dependencies } = creation;
         match outcome {
             Outcome::Responded(StoreResponse::Committed(version)) => {
-                let cached = CachedJob { state: RecordState::Open, tasks, version, dependencies: awaits };
+                let cached = CachedJob { state: RecordState::Open, tasks, version, dependencies };
                 self.users.cache.insert(&job, cached.clone(), self.env.policy.job_cache_size);
                 let state = match self.users.apply_ancestor_cancellation(&job, cached).state {
                     RecordState::Cancelled => JobStatus::Cancelled,
@@ -132,10 +131,10 @@
         }
     }
 
-    /// Rejects a submission unless the state service has the job.
-    fn refuse(&mut self, request: RequestId, job: String, answer: HttpResponse) {
+    /// Rejects a submission with this response, unless the state service has the job.
+    fn refuse(&mut self, request: RequestId, job: String, rejection: HttpResponse) {
         let op = StoreOp::Get(job_key(&job));
-        self.env.call_store(Purpose::User(UserCall::Refuse { request, job, answer }), Urgency::High, op);
+        self.env.call_store(Purpose::User(UserCall::Refuse { request, job, answer: rejection }), Urgency::High, op);
     }
 
     /// Handles the outcome of the read before a rejection.
@@ -143,7 +142,7 @@
         &mut self,
         request: RequestId,
         job: String,
-        answer: HttpResponse,
+        rejection: HttpResponse,
         outcome: Outcome<StoreResponse>,
     ) {
         let Outcome::Responded(StoreResponse::Item(item)) = outcome else {
@@ -151,7 +150,7 @@
             return;
         };
         match item.map(|item| self.cache_record(&job, item)) {
-            None => self.respond(request, answer),
+            None => self.respond(request, rejection),
             Some(Some(cached)) => self.record_read(job, cached, vec![request]),
             // The record exists, so the job was accepted, but it cannot be decoded.
             Some(None) => self.respond(request, store_unresponsive()),
@@ -170,13 +169,13 @@
     DependsOnItself,
     /// The dependency with this id was never accepted.
     UnknownDependency(String),
-    /// The description is larger than this number of bytes.
+    /// The description takes more than this number of bytes.
     TooLarge(usize),
 }
 
 impl Refusal {
     /// Returns the response to the user.
-    fn answer(&self) -> HttpResponse {
+    fn response(&self) -> HttpResponse {
         let status = if matches!(self, Refusal::TooLarge(_)) { 400 } else { 422 };
         HttpResponse::error(status, &self.to_string())
     }
@@ -199,17 +198,17 @@
     }
 }
 
-/// Checks that the job can run at all, in view of the settings and the machine types.
+/// Checks that the settings and the machine types allow the job to run at all.
 fn check_runnable(env: &Env, spec: &JobSpec) -> Result<(), Refusal> {
     let need = Resources::of(spec);
     let Some(team) = env.facts.teams.get(&spec.team) else {
         return Err(Refusal::UnknownTeam);
     };
-    let fits = env.machine_types.iter().any(|kind| {
-        let machine = Resources { cpus: kind.cpus, gpus: kind.gpus, memory_gb: kind.memory_gb };
+    let fits = env.machine_types.iter().any(|machine_type| {
+        let machine = Resources { cpus: machine_type.cpus, gpus: machine_type.gpus, memory_gb: machine_type.memory_gb };
         machine.can_fit(need)
-            && spec.types.as_ref().is_none_or(|types| types.contains(&kind.name))
-            && spec.zone.as_ref().is_none_or(|zone| kind.zones.contains(zone))
+            && spec.types.as_ref().is_none_or(|types| types.contains(&machine_type.name))
+            && spec.zone.as_ref().is_none_or(|zone| machine_type.zones.contains(zone))
     });
     if !fits {
         return Err(Refusal::FitsNoMachineType);
