--- a/crates/core/src/dependencies.rs
+++ b/crates/core/src/dependencies.rs
@@ -1,12 +1,12 @@
 //! Dependencies between jobs, as the leader tracks them.
 //!
 //! The durable state is the final record of a dependency, `job/<id>`, which is written once: a dependent may
-//! start when the record says done, and is cancelled when it says cancelled. The tables here are derived from
+//! start when the record's state is done, and is cancelled when it is cancelled. The tables here are derived from
 //! these records, and a new leader derives them again.
 //!
 //! No task starts before all dependencies of its job are durably done, and no job is left waiting for a
-//! cancelled one. A submission can name only accepted jobs, so there are no cycles. Chains may be long, so
-//! nothing here is recursive.
+//! cancelled one. A submission can name only accepted jobs, so there are no cycles. Chains may be long, so they are
+//! followed in loops and not by recursion.
 
 pub(crate) mod state;
 
@@ -26,13 +26,13 @@
 /// Delay before the record of a dependency is read again.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// Returns the earlier of two deadlines, if there is any.
-fn earlier_deadline(one: Option<u64>, other: Option<u64>) -> Option<u64> {
-    one.into_iter().chain(other).min()
+/// Returns the earlier of two deadlines; `None` if there is neither.
+fn earlier_deadline(first: Option<u64>, second: Option<u64>) -> Option<u64> {
+    first.into_iter().chain(second).min()
 }
 
 impl Term {
-    /// Registers a job's dependencies. A job with placed or done tasks has nothing to wait for.
+    /// Registers a job's dependencies. A job with placed or done tasks has no pending ones, since it has started.
     pub fn link_dependencies(&mut self, env: &mut Env, name: &Name) {
         let Some(job) = self.jobs.get_mut(name) else { return };
         let has_started = !job.placements.is_empty() || job.done_count > 0;
@@ -42,7 +42,7 @@
         job.eligible_ms = env.now.wall_ms;
         let dependencies: BTreeSet<Name> = job.spec.dependencies.iter().map(|id| Name::from(id.as_str())).collect();
         job.pending_dependencies = dependencies.clone();
-        let (priority, due_ms) = (job.effective_priority, job.effective_deadline_ms);
+        let (priority, deadline_ms) = (job.effective_priority, job.effective_deadline_ms);
         let mut has_cancelled_dependency = false;
         for dependency in &dependencies {
             self.dependencies.dependents.entry(dependency.clone()).or_default().insert(name.clone());
@@ -53,7 +53,7 @@
                 }
             }
         }
-        self.raise_priorities(dependencies, priority, due_ms);
+        self.raise_priorities(dependencies, priority, deadline_ms);
         if has_cancelled_dependency {
             self.orphan(env, vec![name.clone()]);
         }
@@ -61,16 +61,17 @@
 
     /// Raises the priorities and advances the deadlines of dependencies, direct and indirect, to those of a
     /// dependent.
-    fn raise_priorities(&mut self, dependencies: BTreeSet<Name>, priority: Priority, due_ms: Option<u64>) {
+    fn raise_priorities(&mut self, dependencies: BTreeSet<Name>, priority: Priority, deadline_ms: Option<u64>) {
         let mut unvisited: Vec<Name> = dependencies.into_iter().collect();
         while let Some(name) = unvisited.pop() {
             let Some(job) = self.jobs.get_mut(&name) else { continue };
-            let has_later_deadline = earlier_deadline(job.effective_deadline_ms, due_ms) != job.effective_deadline_ms;
+            let has_later_deadline =
+                earlier_deadline(job.effective_deadline_ms, deadline_ms) != job.effective_deadline_ms;
             if job.effective_priority >= priority && !has_later_deadline {
                 continue;
             }
             job.effective_priority = job.effective_priority.max(priority);
-            job.effective_deadline_ms = earlier_deadline(job.effective_deadline_ms, due_ms);
+            job.effective_deadline_ms = earlier_deadline(job.effective_deadline_ms, deadline_ms);
             unvisited.extend(job.pending_dependencies.iter().cloned());
         }
     }
@@ -80,23 +81,23 @@
         let mut unvisited: Vec<Name> = dependencies.into_iter().collect();
         while let Some(name) = unvisited.pop() {
             let Some(job) = self.jobs.get(&name).filter(|job| !job.cancelled) else { continue };
-            let (mut priority, mut due_ms) = (job.spec.priority, job.own_deadline_ms());
+            let (mut priority, mut deadline_ms) = (job.spec.priority, job.own_deadline_ms());
             let dependents = self.dependencies.dependents.get(&name).into_iter().flatten();
             for dependent in dependents.filter_map(|id| self.jobs.get(id)).filter(|job| !job.cancelled) {
                 priority = priority.max(dependent.effective_priority);
-                due_ms = earlier_deadline(due_ms, dependent.effective_deadline_ms);
+                deadline_ms = earlier_deadline(deadline_ms, dependent.effective_deadline_ms);
             }
-            if (priority, due_ms) == (job.effective_priority, job.effective_deadline_ms) {
+            if (priority, deadline_ms) == (job.effective_priority, job.effective_deadline_ms) {
                 continue;
             }
             unvisited.extend(job.pending_dependencies.iter().cloned());
             if let Some(job) = self.jobs.get_mut(&name) {
-                (job.effective_priority, job.effective_deadline_ms) = (priority, due_ms);
+                (job.effective_priority, job.effective_deadline_ms) = (priority, deadline_ms);
             }
         }
     }
 
-    /// Handles the durable end of a job: its dependents may start, or are cancelled with it.
+    /// Handles the durable end of a job: its dependents may start if it is done, and are cancelled if it is cancelled.
     pub fn dependency_ended(&mut self, env: &mut Env, dependency: &Name, state: RecordState) {
         let Some(dependents) = self.dependencies.dependents.remove(dependency) else {
             return;
@@ -132,8 +133,8 @@
         self.recompute_priorities(dependencies);
     }
 
-    /// Handles a user's cancellation of a job: none of its tasks starts any more, all placed ones are stopped, and
-    /// its dependents are cancelled.
+    /// Handles a user's cancellation of a job: no more of its tasks are started, all placed ones are stopped, and its
+    /// dependents are cancelled.
     pub fn job_cancelled(&mut self, env: &mut Env, name: &Name) {
         self.stop_cancelled_job(env, name);
         let dependencies = self.jobs.get(name).map(|job| job.pending_dependencies.clone()).unwrap_or_default();
@@ -141,7 +142,7 @@
         self.dependency_ended(env, name, RecordState::Cancelled);
     }
 
-    /// Removes a job that leaves the tables from the dependents of its dependencies.
+    /// Removes a job that is no longer tracked from the dependents of its dependencies.
     pub fn unlink_dependencies(&mut self, job: &Job) {
         for dependency in &job.spec.dependencies {
             if let Some(dependents) = self.dependencies.dependents.get_mut(dependency.as_str()) {
@@ -179,7 +180,7 @@
                 self.dependency_ended(env, &dependency, record.state);
                 return;
             }
-            // The job is in the table by now, and its end will be handled there.
+            // The job has been added to the unfinished jobs since, and its end will be handled there.
             if self.jobs.contains_key(&dependency) {
                 return;
             }
--- a/crates/core/src/dependencies/state.rs
+++ b/crates/core/src/dependencies/state.rs
@@ -1,4 +1,4 @@
-//! State of a leader's tracking of dependencies between jobs.
+//! A leader's tables of the dependencies between jobs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -14,6 +14,6 @@
     pub(super) unread: BTreeSet<Name>,
     /// Dependencies whose records are being read.
     pub(super) reading: BTreeSet<Name>,
-    /// Earliest time of the next read after one that found no final record.
+    /// Earliest time of the next reads after one that found no final record.
     pub(super) retry_at: Option<Instant>,
 }
--- a/crates/core/src/failover.rs
+++ b/crates/core/src/failover.rs
@@ -20,11 +20,12 @@
 use crate::term::Term;
 
 /// Placement penalty of a machine whose zone is on probation, for tiers that avoid such zones, after the zone's
-/// first loss. Less than most images take to fetch; it grows with the square of the zone's flap factor.
+/// first loss. It is less than the time that most images take to fetch, and grows with the square of the zone's flap
+/// factor.
 const PROBATION_PENALTY_S: f64 = 4.0;
-/// Preemption cost of a difference of one tier, in CPU seconds.
+/// Difference in the preemption cost between two successive tiers, in CPU seconds.
 const TIER_WEIGHT_CPU_S: f64 = 10_000.0;
-/// Bytes of a value of the state service that the record of zones leaves unused.
+/// Bytes of the largest value of the state service that the record of zones leaves unused.
 const RECORD_RESERVE_BYTES: usize = 256;
 
 /// Adds a machine to the observations of its zone; `in_time` is whether its reports are on time.
@@ -32,15 +33,15 @@
     let unreachable = machine.failed_calls() > 0;
     // Direct calls may fail while another controller relays its reports and this leader's responses.
     let unreachable_without_relay = unreachable && !machine.receives_responses();
-    let out = overdue || unreachable_without_relay || machine.reports_missing();
+    let out_of_contact = overdue || unreachable_without_relay || machine.reports_missing();
     view.machines += 1;
     view.overdue += usize::from(overdue);
     view.unreachable += usize::from(unreachable);
-    view.out_of_contact += usize::from(out);
+    view.out_of_contact += usize::from(out_of_contact);
     view.ordinary += usize::from(!machine.spot);
-    view.ordinary_out_of_contact += usize::from(out && !machine.spot);
-    view.in_time += usize::from(in_time && !out);
-    if out {
+    view.ordinary_out_of_contact += usize::from(out_of_contact && !machine.spot);
+    view.in_time += usize::from(in_time && !out_of_contact);
+    if out_of_contact {
         view.tasks_out_of_contact += machine.tasks.len();
     } else {
         view.cpus += machine.total.cpus;
@@ -49,13 +50,14 @@
 }
 
 impl Term {
-    /// Updates the zone states from observations of all machines that were made just now.
-    pub fn update_zone_states(&mut self, env: &Env, mut zones: BTreeMap<String, ZoneView>, settling: bool) {
+    /// Updates the zone states from new observations of all machines. `workers_reconnecting` is whether workers are
+    /// still looking for this new leader.
+    pub fn update_zone_states(&mut self, env: &Env, mut zones: BTreeMap<String, ZoneView>, workers_reconnecting: bool) {
         let now = env.steady();
         for zone in &self.zones {
             zones.entry(zone.clone()).or_default();
         }
-        // Machines known only from records, whose zone is not known yet.
+        // The empty name stands for the unknown zone of machines that are known only from records.
         zones.remove("");
         let Some(failover) = &mut self.failover else { return };
         let fleet = FleetView {
@@ -65,7 +67,7 @@
             other_controllers: self.controllers.total,
             responding_controllers: self.controllers.responding,
             stepped_down: self.controllers.recently_stepped_down,
-            workers_reconnecting: settling,
+            workers_reconnecting,
         };
         let observation = failover.observe(now, &fleet);
         if observation.minority && !self.in_minority {
@@ -100,8 +102,8 @@
 
     // Effects of the zone states.
 
-    /// Whether a zone's machines are unreachable, as new ones would be. All decisions on reachability of zones use
-    /// this function.
+    /// Whether a zone's machines are unreachable, as new machines in it would be. All decisions that depend on the
+    /// reachability of a zone use this function.
     pub fn zone_is_unreachable(&self, zone: &str) -> bool {
         match &self.failover {
             Some(failover) => matches!(failover.state(zone), ZoneState::Suspect | ZoneState::Lost),
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Whether no task may be placed in a zone: it is lost or held out by the settings.
+    /// Whether no task may be placed in a zone: it is lost or excluded by the settings.
     pub fn zone_is_closed(&self, zone: &str) -> bool {
         let lost = self.zone_is_lost(zone);
         lost || self.failover.as_ref().is_some_and(|failover| failover.settings().excluded_zones.contains(zone))
@@ -120,26 +122,26 @@
         self.failover.as_ref().is_some_and(|failover| failover.state(zone) == ZoneState::Lost)
     }
 
-    /// Whether any zone is not healthy: no tasks are moved just to release machines.
+    /// Whether any zone is not healthy. No task is then moved just to release a machine.
     pub fn any_zone_unhealthy(&self) -> bool {
         self.failover.as_ref().is_some_and(|failover| !failover.all_healthy())
     }
 
-    /// Whether a zone is being evacuated, so that placement goes by tiers.
+    /// Whether a zone is being evacuated, so that jobs are placed in the order of their tiers.
     pub fn is_evacuating(&self) -> bool {
         self.failover.as_ref().is_some_and(Failover::is_evacuating)
     }
 
-    /// Returns a job's tier; lower tiers are placed first.
+    /// Returns the number of a job's tier; tiers with lower numbers are placed first.
     pub fn tier_of(&self, job: &Job) -> usize {
         let Some(failover) = &self.failover else { return 0 };
         let guaranteed = self.jobs_within_quota.contains(&job.id);
         failover.settings().tier_of(&TierQuery { class: &job.spec.class, priority: job.effective_priority, guaranteed })
     }
 
-    /// Returns the cost of preempting a task of a job by its tier, in CPU seconds, to be added to the work lost:
-    /// while a zone is evacuated, tasks of the last tier are preempted first, even if tasks of an earlier tier have
-    /// just started.
+    /// Returns the cost that a job's tier adds to the work lost by preempting one of its tasks, in CPU seconds. While a
+    /// zone is evacuated, tasks of the last tier are preempted first, even if tasks of an earlier tier have just
+    /// started.
     pub fn tier_preemption_cost(&self, job: &Job) -> f64 {
         match &self.failover {
             Some(failover) if failover.is_evacuating() => {
@@ -167,7 +169,8 @@
         self.allowed_zones(job).is_some_and(|zones| zones.iter().all(closed))
     }
 
-    /// Whether the machine's zone takes a task of this size now: a returning zone is filled at a limited rate.
+    /// Whether a task of this size may be placed in the machine's zone now: a returning zone is filled at a limited
+    /// rate.
     pub fn zone_admits(&self, machine: &Machine, need: Resources) -> bool {
         machine.access != Access::Ramped
             || self.failover.as_ref().is_none_or(|failover| failover.admits(&machine.zone, need.cpus))
@@ -191,24 +194,24 @@
         !machine.releasing && (partitioned || lost)
     }
 
-    /// Whether an unresponsive machine is kept because of its zone: for some time after its lease has expired, since
-    /// the zone may return before a new machine would have booted, and for some time after the return, since its
-    /// worker may still wait for a response that was lost.
+    /// Whether an unresponsive machine is kept because of its zone. It is kept for some time after its lease has
+    /// expired, since the zone may return before a new machine would have booted, and for some time after the zone's
+    /// return, since its worker may still wait for a response that was lost.
     pub fn is_kept_with_zone(&self, now: Instant, machine: &Machine, lease_end: Instant) -> bool {
         let Some(failover) = &self.failover else { return false };
         let Some(zone) = failover.zone(&machine.zone) else { return false };
-        let keep = failover.settings().machine_retention;
+        let retention = failover.settings().machine_retention;
         match zone.state() {
-            ZoneState::Lost => now < lease_end + keep,
-            ZoneState::Returning => now < zone.since() + keep,
+            ZoneState::Lost => now < lease_end + retention,
+            ZoneState::Returning => now < zone.since() + retention,
             ZoneState::Healthy | ZoneState::Suspect => false,
         }
     }
 
     // Tasks that lose their placements.
 
-    /// Whether a task has been restarted because of zones as often as its class allows. An expired lease then does
-    /// not suffice to place it again: its machine must report, or the machine's end must be confirmed.
+    /// Whether a task in an unhealthy zone has been restarted because of zones as often as its class allows. An expired
+    /// lease then does not suffice to place it again: its machine must report, or the machine's end must be confirmed.
     pub fn needs_confirmed_stop(&self, key: &TaskKey, zone: &str) -> bool {
         let Some(failover) = &self.failover else { return false };
         let Some(job) = self.jobs.get(&key.0).filter(|job| !job.cancelled) else { return false };
@@ -216,14 +219,17 @@
         failover.state(zone) != ZoneState::Healthy && !failover.may_rerun(&job.spec.class, reruns)
     }
 
-    /// Counts a restart because of the zone, if the zone is not healthy, for a task that is about to lose its
-    /// placement because its machine's lease has expired or the machine has ended.
+    /// Counts a restart because of the zone for a task that is about to lose its placement, since its machine's lease
+    /// has expired or the machine has ended. Nothing is counted if the zone is healthy.
     pub fn note_displaced(&mut self, key: &TaskKey, machine: &Name) {
         let Some(zone) = self.machines.get(machine).map(|machine| machine.zone.clone()) else { return };
-        let Some(failover) = self.failover.as_ref().filter(|f| f.state(&zone) != ZoneState::Healthy) else { return };
+        let Some(failover) = self.failover.as_ref().filter(|failover| failover.state(&zone) != ZoneState::Healthy)
+        else {
+            return;
+        };
         let returning = failover.state(&zone) == ZoneState::Returning;
         let Some(job) = self.jobs.get_mut(&key.0).filter(|job| !job.cancelled) else { return };
-        if job.placements.get(&key.1).is_none_or(|place| !place.start_sent) {
+        if job.placements.get(&key.1).is_none_or(|placement| !placement.start_sent) {
             return;
         }
         *job.zone_reruns.entry(key.1).or_default() += 1;
@@ -265,8 +271,8 @@
         }
     }
 
-    /// Adds the record of zones to a transaction if it has changed. Only to one that writes the last segment of
-    /// the log: its condition prevents a late copy of the transaction from being applied.
+    /// Adds the record of zones to a transaction if it has changed and the transaction writes the last segment of the
+    /// log: that segment's condition prevents a late copy of the transaction from being applied.
     pub fn write_zone_record(&mut self, env: &Env, txn: &mut Txn, batch: &mut Batch) {
         let Some(failover) =
             self.failover.as_mut().filter(|failover| batch.segment && failover.has_unwritten_changes())
@@ -283,7 +289,7 @@
         batch.failover = true;
     }
 
-    /// Takes over the record of zones of an earlier leader.
+    /// Adopts the record of zones that an earlier leader wrote.
     pub fn load_zone_record(&mut self, env: &Env, item: Option<Item>) {
         let (Some(failover), Some(item)) = (&mut self.failover, item) else { return };
         match serde_json::from_value(item.value) {
@@ -298,7 +304,7 @@
 fn keep_draining(failover: &mut Failover, machine: &mut Machine) {
     if !machine.zone_unhealthy {
         failover.forget_drain(&machine.name);
-        // Not once the machine is suspect: it may then be retiring only because it is unreachable.
+        // Not recorded for a suspect machine, which may be retiring only because it is unreachable.
         if !machine.suspect && machine.failed_calls() == 0 {
             let (retiring, quarantined, straggling) = (machine.retiring, machine.quarantined, machine.straggler);
             machine.drain = DrainReasons { retiring, quarantined, straggling };
