--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -14,16 +14,16 @@
     pub gpus: f64,
     /// Memory of a machine.
     pub memory_gb: f64,
-    /// Size of the image cache.
+    /// Size of a machine's image cache.
     #[serde(default)]
     pub cache_gb: f64,
-    /// Rate at which images are fetched.
+    /// Rate at which a machine fetches images.
     #[serde(default)]
     pub fetch_gb_per_s: f64,
-    /// Price per hour of an ordinary machine.
+    /// Price per hour of an on-demand machine.
     #[serde(rename = "hourly")]
     pub price: f64,
-    /// Current price per hour of a spot machine, which the cloud may reclaim; `None` if there are none.
+    /// Current price per hour of a spot machine, which the cloud may reclaim; `None` if the type has no spot machines.
     #[serde(rename = "market_price", default)]
     pub spot_price: Option<f64>,
     /// Usual boot time, in seconds.
@@ -48,7 +48,7 @@
     /// Name of the request. It makes the request idempotent: a retry under the same name rents no more machines.
     #[serde(rename = "hire")]
     pub request: String,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
     /// Zone of the machines.
@@ -92,7 +92,7 @@
     /// Address at which its worker accepts direct calls.
     #[serde(default)]
     pub addr: String,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
     /// Zone of the machine.
--- a/crates/wire/src/job.rs
+++ b/crates/wire/src/job.rs
@@ -75,7 +75,7 @@
     /// Whether the job may use spot machines, which the cloud may reclaim.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// Image that a machine needs to run a task.
+    /// Image that a machine must have to run a task.
     #[serde(rename = "kit")]
     pub image: String,
     /// Size of the image.
@@ -195,7 +195,7 @@
     /// Number of tasks that are done, for display.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Number of tasks that run, for display.
+    /// Number of running tasks, for display.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
     /// Dependencies of the job that are not done.
--- a/crates/wire/src/peer.rs
+++ b/crates/wire/src/peer.rs
@@ -1,8 +1,8 @@
 //! Messages between controllers, encoded with postcard. Postcard writes no names, so the order of fields and
 //! variants must not change.
 //!
-//! Correctness depends on these messages in one way only: a response to a new request shows which incarnation of
-//! a controller is running.
+//! Correctness depends on only one property of these messages: a response to a new request shows which incarnation
+//! of a controller is running.
 
 use serde::{Deserialize, Serialize};
 
@@ -15,7 +15,7 @@
     pub job: String,
     /// Number of tasks that are done.
     pub done: u32,
-    /// Number of tasks that run.
+    /// Number of running tasks.
     pub running: u32,
 }
 
@@ -26,7 +26,7 @@
     pub label: String,
     /// Fencing token of the sender while it leads.
     pub token: Option<u64>,
-    /// Whether the leader has as many unfinished jobs as it can hold.
+    /// Whether the sender leads and has reached its limit of unfinished jobs.
     pub job_limit_reached: bool,
     /// Progress of jobs, from the leader only.
     pub progress: Vec<Progress>,
@@ -49,7 +49,7 @@
     pub busy_percent: u8,
 }
 
-/// Workers' reports that a controller relays to the leader, to pass back the leader's responses.
+/// Workers' reports that a controller relays to the leader. It passes the leader's responses back to the workers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RelayRequest {
     /// Fencing token of the leader that the reports are for.
@@ -82,7 +82,7 @@
 pub struct FullReport {
     /// Address at which the worker accepts direct calls.
     pub addr: String,
-    /// Machine type.
+    /// Name of the machine type.
     pub machine_type: String,
     /// Zone of the machine.
     pub zone: String,
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -68,7 +68,7 @@
     pub machine: String,
     /// Address at which the worker accepts direct calls.
     pub addr: String,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
     /// Zone of the machine.
@@ -90,13 +90,13 @@
     /// Seconds until the cloud reclaims the machine, if it gave notice.
     #[serde(rename = "recall_s", default)]
     pub notice_s: Option<f64>,
-    /// All tasks on the machine, including ended ones until an order to forget them.
+    /// All tasks on the machine. Ended ones are included until an order to forget them arrives.
     #[serde(rename = "loads", default)]
     pub tasks: T,
 }
 
-/// A report whose list of tasks is validated as JSON but not parsed: in a large fleet most reports repeat the
-/// list of the report before.
+/// A report whose list of tasks is validated as JSON but not parsed: in a large fleet, most reports repeat the list
+/// of the previous report.
 pub type UnparsedReport = Report<Option<Box<RawValue>>>;
 
 impl UnparsedReport {
@@ -132,7 +132,7 @@
         /// Attempt number.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Grace period in seconds, for saving the progress.
+        /// Grace period in which the task may save its progress, in seconds.
         #[serde(rename = "wind_down_s")]
         grace_s: f64,
     },
@@ -163,7 +163,7 @@
     /// Fencing token of the leader that gives the orders.
     #[serde(rename = "baton")]
     pub token: u64,
-    /// Session of the worker for which orders by a direct call are meant.
+    /// Session of the worker that the orders of a direct call are meant for.
     #[serde(rename = "shift", default, skip_serializing_if = "Option::is_none")]
     pub session: Option<u64>,
     /// Orders, to be carried out in this sequence.
