--- a/crates/rushyoke/src/driver.rs
+++ b/crates/rushyoke/src/driver.rs
@@ -55,8 +55,8 @@
     rate_limited: Rc<Cell<bool>>,
     /// Calls to the state service in flight. Watches do not count.
     store_calls: Rc<Cell<usize>>,
-    /// Limit of the calls in flight, so that they do not use up the sockets while the state service is slow
-    /// or does not respond. Leadership calls are exempt.
+    /// Limit of these calls, so that they do not use up the sockets while the state service is slow or does not
+    /// respond. Leadership calls are exempt.
     max_store_calls: usize,
     cloud_queue: RateLimitedQueue<(CallId, CloudOp)>,
     store_addr: SocketAddr,
@@ -64,7 +64,7 @@
     peers: HashMap<String, SocketAddr>,
     pending_responses: HashMap<RequestId, PendingResponse>,
     last_request_id: u64,
-    /// Returns the outcomes of calls to the event loop.
+    /// Sends the outcomes of calls back to the event loop.
     outcomes: mpsc::UnboundedSender<Input>,
     stats: Rc<RefCell<Stats>>,
     /// Number of other nodes.
@@ -93,7 +93,7 @@
 async fn run_event_loop(settings: Settings, parks: Arc<AtomicU64>) -> Result<(), String> {
     let sockets = settings.sockets;
     // A connection carries one request at a time, so a channel with a slot per connection never rejects a
-    // request. When all workers turn to a new leader at once, each rejected one would retry.
+    // request. When all workers connect to a new leader at once, each rejected one would retry.
     let (requests, mut request_inbox) = mpsc::channel::<CoreRequest>(sockets.inbound);
     let (priority_requests, mut priority_inbox) = mpsc::channel::<CoreRequest>(PRIORITY_QUEUE_SIZE);
     // Outcomes of this node's own calls. The core and the rate-limited queues bound their number.
@@ -177,7 +177,7 @@
         let tick_delay = now.duration_since(self.last_tick).saturating_sub(TICK_INTERVAL);
         self.stats.borrow_mut().record_tick_delay(tick_delay);
         self.last_tick = now;
-        let share = match (self.node.token(), self.other_nodes) {
+        let store_share = match (self.node.token(), self.other_nodes) {
             (_, 0) => 1.0,
             (Some(_), _) => LEADER_STORE_SHARE,
             (None, other_nodes) => (1.0 - LEADER_STORE_SHARE) / other_nodes as f64,
@@ -188,7 +188,7 @@
             tracing::info!(rps, write_rps, "the upcoming rate limits of the state service apply from now on");
             self.store_queue.set_limits(rps, write_rps, STORE_BURST_S);
         }
-        self.store_queue.set_share(share);
+        self.store_queue.set_share(store_share);
         for (call, _) in self.store_queue.take_expired(now) {
             self.handle_input(Input::Store { call, outcome: Outcome::NotExecuted });
         }
@@ -202,18 +202,18 @@
         self.handle_input(Input::Tick);
     }
 
-    /// Estimates the processor load and passes it to the core. A process with time to spare parks after nearly
-    /// every input; one that is behind finds the next inputs already queued.
+    /// Estimates the processor load and passes it to the core. A process with little load parks after nearly every
+    /// input; an overloaded one finds the next inputs already queued and does not park.
     fn report_load(&mut self, parks: u64, tick_delay: Duration) {
         let inputs = std::mem::take(&mut self.inputs_since_tick).max(1) as f64;
-        let share = 1.0 - ((parks - self.parks_at_last_tick) as f64 / inputs).min(1.0);
+        let busy_share = 1.0 - ((parks - self.parks_at_last_tick) as f64 / inputs).min(1.0);
         self.parks_at_last_tick = parks;
-        self.load += (share - self.load) * LOAD_SMOOTHING;
+        self.load += (busy_share - self.load) * LOAD_SMOOTHING;
         let share = self.load;
         self.handle_input(Input::ProcessorLoad { share, tick_delay });
     }
 
-    /// Passes a request to the core and keeps its response channel.
+    /// Passes a request to the core and keeps its response channel until the core responds.
     fn handle_request(&mut self, request: CoreRequest) {
         self.last_request_id += 1;
         let request_id = RequestId(self.last_request_id);
--- a/crates/rushyoke/src/http_client.rs
+++ b/crates/rushyoke/src/http_client.rs
@@ -33,8 +33,8 @@
     stats: Rc<RefCell<Stats>>,
 }
 
-/// Limit of the idle connections: a reserved number, and the sockets that inbound connections leave free. Idle
-/// connections are worth keeping, since opening one costs several times as much as a request on it.
+/// Limit of the idle connections: a reserved number, plus the sockets that inbound connections do not use. Idle
+/// connections are worth keeping, since opening a connection costs several times as much as a request on it.
 #[derive(Clone)]
 pub struct IdleConnectionLimit {
     /// Idle connections that are allowed at any time.
@@ -48,7 +48,7 @@
 impl IdleConnectionLimit {
     /// Returns the number of idle connections allowed now.
     fn max_idle(&self) -> usize {
-        // An eighth stays free for connections that are being opened or are not closed yet.
+        // An eighth of the inbound sockets stays free for connections that are being opened or closed.
         self.reserved + (self.max_inbound - self.max_inbound / 8).saturating_sub(self.inbound.get())
     }
 }
@@ -76,7 +76,7 @@
     pub async fn request(&self, request: OutgoingRequest) -> Outcome<(u16, Bytes)> {
         while let Some(sender) = self.take_idle(request.addr) {
             match self.send(sender, &request).await {
-                // The idle connection had been closed; nothing was sent.
+                // The idle connection was already closed, and nothing was sent.
                 Outcome::NotExecuted => continue,
                 outcome => return outcome,
             }
@@ -120,7 +120,7 @@
         self.trim_idle();
     }
 
-    /// Closes the connections that have been idle for longest until their number is within the limit.
+    /// Closes the longest idle connections until the number of idle ones is within the limit.
     pub fn trim_idle(&self) {
         let mut idle = self.idle.borrow_mut();
         while idle.len() > self.idle_limit.max_idle() {
--- a/crates/rushyoke/src/outbound.rs
+++ b/crates/rushyoke/src/outbound.rs
@@ -16,8 +16,8 @@
 
 use crate::http_client::{HttpClient, OutgoingRequest};
 
-/// Time that a watch may take beyond its own waiting time. It is short, so that a hanging watch is soon replaced: a
-/// leader that has been without a watch for too long must stop responding to workers.
+/// Time that a watch may take beyond the waiting time that it requests. It is short, so that a hanging watch is soon
+/// replaced: a leader that has had no response to a watch for too long must stop responding to workers.
 const WATCH_GRACE: Duration = Duration::from_millis(1500);
 const STORE_TIMEOUT: Duration = Duration::from_millis(1500);
 const CLOUD_TIMEOUT: Duration = Duration::from_secs(5);
@@ -26,7 +26,7 @@
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Workers wait 4 seconds for the response to a report, and a busy leader needs part of that time.
 const RELAY_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Timeout for connecting, except to workers, for which it is `PROBE_TIMEOUT`.
+/// Timeout for connecting; to workers it is `PROBE_TIMEOUT` instead.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Largest response body that is read.
 const MAX_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
@@ -120,11 +120,12 @@
         (StoreOp::List { .. }, 200) => {
             responded_or_unknown(parse_json::<Page>("state", &body).map(StoreResponse::Page))
         }
-        (StoreOp::Txn(_), 200) => {
-            responded_or_unknown(parse_json::<Committed>("state", &body).map(|c| StoreResponse::Committed(c.revision)))
-        }
+        (StoreOp::Txn(_), 200) => responded_or_unknown(
+            parse_json::<Committed>("state", &body).map(|committed| StoreResponse::Committed(committed.revision)),
+        ),
         (StoreOp::Txn(_), 409) => responded_or_unknown(
-            parse_json::<FailedConditions>("state", &body).map(|r| StoreResponse::ConditionsFailed(r.failed)),
+            parse_json::<FailedConditions>("state", &body)
+                .map(|conditions| StoreResponse::ConditionsFailed(conditions.failed)),
         ),
         (StoreOp::Txn(_), 400) => {
             let text = String::from_utf8_lossy(&body);
@@ -134,12 +135,12 @@
             Outcome::Responded(StoreResponse::NoSuchLease)
         }
         (StoreOp::NewLease { .. }, 200) => {
-            responded_or_unknown(parse_json::<Lease>("state", &body).map(|l| StoreResponse::Lease(l.lease)))
+            responded_or_unknown(parse_json::<Lease>("state", &body).map(|granted| StoreResponse::Lease(granted.lease)))
         }
         (StoreOp::RenewLease(_) | StoreOp::EndLease(_), 200 | 204) => Outcome::Responded(StoreResponse::LeaseOk),
         (StoreOp::RenewLease(_) | StoreOp::EndLease(_), 404) => Outcome::Responded(StoreResponse::NoSuchLease),
-        // The size of the changes is not limited. A body too large to read is empty here and is handled like
-        // compacted changes: the keys are read again, in pages.
+        // The size of a response with changes is not limited. The client returns a body that is too large to read as an
+        // empty one, which is handled like compacted changes: the keys are read again, in pages.
         (StoreOp::Watch { .. }, 200) if body.is_empty() => Outcome::Responded(StoreResponse::Compacted),
         (StoreOp::Watch { .. }, 200) => {
             responded_or_unknown(parse_json::<Changes>("state", &body).map(StoreResponse::Changes))
@@ -162,7 +163,7 @@
             CLOUD_TIMEOUT,
         ),
         CloudOp::List { after } => {
-            let after = after.as_ref().map(|a| format!("since={a}&")).unwrap_or_default();
+            let after = after.as_ref().map(|machine| format!("since={machine}&")).unwrap_or_default();
             request_to(
                 addr,
                 Method::GET,
@@ -178,12 +179,12 @@
         Outcome::Unknown => return Outcome::Unknown,
     };
     match (&op, status) {
-        (CloudOp::Types, 200) => {
-            responded_or_unknown(parse_json::<MachineTypes>("cloud", &body).map(|t| CloudResponse::Types(t.types)))
-        }
-        (CloudOp::Rent(_), 200) => {
-            responded_or_unknown(parse_json::<MachineNames>("cloud", &body).map(|n| CloudResponse::Rented(n.machines)))
-        }
+        (CloudOp::Types, 200) => responded_or_unknown(
+            parse_json::<MachineTypes>("cloud", &body).map(|list| CloudResponse::Types(list.types)),
+        ),
+        (CloudOp::Rent(_), 200) => responded_or_unknown(
+            parse_json::<MachineNames>("cloud", &body).map(|rented| CloudResponse::Rented(rented.machines)),
+        ),
         (CloudOp::Release(_), 200) => Outcome::Responded(CloudResponse::Released),
         (CloudOp::List { .. }, 200) => {
             responded_or_unknown(parse_json::<Listing>("cloud", &body).map(CloudResponse::Listing))
@@ -199,8 +200,8 @@
     }
 }
 
-/// Sends orders directly to a worker. Returns the status and the report that it responds with. A probe, made only to
-/// see whether the worker is alive, has the shorter timeout.
+/// Sends orders directly to a worker. Returns the status and the report of its response. A probe, which only checks
+/// whether the worker is alive, has a shorter timeout.
 pub async fn send_orders(client: &HttpClient, addr: &str, orders: &Orders, probe: bool) -> Outcome<(u16, Report)> {
     let Ok(addr) = addr.parse::<SocketAddr>() else {
         tracing::error!(addr, "invalid worker address");
@@ -232,13 +233,13 @@
 }
 
 /// Posts an encoded message to another controller and decodes the response.
-async fn post_to_peer<A: Serialize, T: for<'a> serde::Deserialize<'a>>(
+async fn post_to_peer<Req: Serialize, Resp: for<'a> serde::Deserialize<'a>>(
     client: &HttpClient,
     addr: SocketAddr,
     path: &str,
-    message: &A,
+    message: &Req,
     response_timeout: Duration,
-) -> Outcome<T> {
+) -> Outcome<Resp> {
     match client.request(request_to(addr, Method::POST, path, encode(message), response_timeout)).await {
         Outcome::Responded((200, body)) => responded_or_unknown(decode(&body)),
         _ => Outcome::Unknown,
--- a/crates/rushyoke/src/pacing.rs
+++ b/crates/rushyoke/src/pacing.rs
@@ -1,5 +1,5 @@
-//! Paces the reads from inbound connections in bounded slices. Between two slices the process handles the responses
-//! to its own calls.
+//! Paces the reads from inbound connections: they are admitted in slices of bounded size. Between two slices, the
+//! process handles the responses to its own calls.
 //!
 //! This protects the leader's lease when all workers connect at once: on a small machine it takes seconds to serve
 //! everything that is ready to be read, and without pacing a response of the state service that arrives meanwhile
@@ -14,7 +14,7 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Reads from inbound connections in one slice.
+/// Number of reads from inbound connections in one slice.
 const READS_PER_SLICE: u32 = 16;
 
 /// Admits reads from inbound connections, slice by slice. Its clones share one state.
@@ -26,7 +26,7 @@
 struct Shared {
     /// Reads in the current slice.
     reads: Cell<u32>,
-    /// Connections that wait for a later slice, the first to be served first.
+    /// Connections that wait for a later slice, in the order in which they are served.
     waiters: RefCell<VecDeque<Waker>>,
     /// Notified when a read does not fit into the current slice.
     exhausted: tokio::sync::Notify,
--- a/crates/rushyoke/src/rate_limit.rs
+++ b/crates/rushyoke/src/rate_limit.rs
@@ -6,7 +6,7 @@
 
 use rushyoke_core::Urgency;
 
-/// Longest queue per urgency; further calls are rejected at once.
+/// Largest number of queued calls per urgency; further calls are rejected at once.
 const MAX_QUEUED_PER_URGENCY: usize = 200;
 /// Longest time that a call waits in a queue before it is rejected.
 const MAX_QUEUE_TIME: Duration = Duration::from_millis(1500);
@@ -57,7 +57,7 @@
     requests: TokenBucket,
     writes: TokenBucket,
     queues: [VecDeque<Queued<T>>; 4],
-    /// The last write was an overdue one of a user, so a record write goes next.
+    /// Whether a record write goes before users' writes, since the last write was an overdue one of a user.
     record_write_due: bool,
     /// Requests per second that all nodes together may send.
     rps: f64,
@@ -101,12 +101,12 @@
         None
     }
 
-    /// Removes and returns the next call that may be sent. If the calls in flight are `at_capacity`, only a
-    /// leadership call.
+    /// Removes and returns the next call that may be sent. If `at_capacity`, the limit of calls in flight is reached,
+    /// and only a leadership call is returned.
     pub fn pop(&mut self, now: Instant, at_capacity: bool) -> Option<T> {
         self.requests.refill(now);
         self.writes.refill(now);
-        // Leadership calls are never delayed; the other calls wait until the tokens they took have refilled.
+        // Leadership calls are never delayed; other calls then wait until the tokens that those took have refilled.
         // A read does not wait behind writes, even if these are more urgent.
         let mut writes_blocked = false;
         let user_write_due = !self.record_write_due && self.user_write_overdue(now);
@@ -137,8 +137,8 @@
         None
     }
 
-    /// Whether a user's write has waited for too long. A leader that writes records all the time can use up a
-    /// low write limit alone, and submissions would be rejected.
+    /// Whether a user's write has waited for too long. A leader that constantly writes records could use up a low write
+    /// limit alone, and submissions would be rejected.
     fn user_write_overdue(&self, now: Instant) -> bool {
         let first = self.queues[Urgency::High as usize].iter().find(|queued| queued.writes > 0.0);
         first.is_some_and(|queued| now.duration_since(queued.queued_at) >= USER_WRITE_OVERDUE)
--- a/crates/rushyoke/src/server.rs
+++ b/crates/rushyoke/src/server.rs
@@ -150,7 +150,8 @@
     }
 
     /// Reads a request body. While it is read, memory is reserved for its announced size or, if none is announced, for
-    /// the largest body. Returns a rejection if too little memory is left, or if the body is too large or too slow.
+    /// the largest accepted body. Returns a rejection if too little memory is free, or if the body is too large or too
+    /// slow.
     async fn read_body<B: Body<Data = Bytes>>(&self, body: B) -> Result<Bytes, HttpResponse>
     where
         B::Error: Into<Box<dyn std::error::Error + Send + Sync>>,
@@ -226,7 +227,7 @@
     }
 }
 
-/// Memory reserved for a request body. It is released on drop, also when the connection ends before the body is read.
+/// Memory reserved for a request body. It is released on drop, even if the connection ends before the body is read.
 struct BodyReservation {
     body_bytes: Rc<Cell<usize>>,
     size: usize,
--- a/crates/rushyoke/src/settings.rs
+++ b/crates/rushyoke/src/settings.rs
@@ -39,7 +39,7 @@
 }
 
 /// Division of the platform's limit on sockets. Each machine reports over its own connection, so most sockets are for
-/// inbound connections. This node's own calls cannot use them up.
+/// inbound connections, and this node's own calls cannot take them.
 #[derive(Clone, Copy)]
 pub struct SocketLimits {
     /// Connections from users, workers and controllers.
@@ -176,9 +176,9 @@
 const MIN_TXN_OPS: usize = 4;
 
 /// The lower of the present and the announced limits of the state service; the latter may come into force at any time.
-/// Values and transactions keep within these limits from the start, since a record written before must be written
-/// again after the change. Rates keep within them only from the first 429 response on, since a lower write rate slows
-/// the scheduler down.
+/// Values and transactions respect these limits from the start, since records written before the change must still be
+/// writable after it. The rates of requests and writes respect them only from the first 429 response on, since a lower
+/// write rate slows the scheduler down.
 struct StoreLimits {
     rps: f64,
     write_rps: f64,
@@ -200,11 +200,11 @@
             Ok(next.map_or(now, |next| now.min(next)))
         };
         let as_f64 = |ops: usize| ops as f64;
-        let next_ops = next.and_then(|n| n.txn_ops).map(as_f64);
+        let next_ops = next.and_then(|next| next.txn_ops).map(as_f64);
         Ok(StoreLimits {
-            rps: lower("rps", state.rps, next.and_then(|n| n.rps), 0.0)?,
-            write_rps: lower("write_rps", state.write_rps, next.and_then(|n| n.write_rps), 0.0)?,
-            value_kb: lower("value_kb", state.value_kb, next.and_then(|n| n.value_kb), MIN_VALUE_KB)?,
+            rps: lower("rps", state.rps, next.and_then(|next| next.rps), 0.0)?,
+            write_rps: lower("write_rps", state.write_rps, next.and_then(|next| next.write_rps), 0.0)?,
+            value_kb: lower("value_kb", state.value_kb, next.and_then(|next| next.value_kb), MIN_VALUE_KB)?,
             txn_ops: lower("txn_ops", as_f64(state.txn_ops), next_ops, as_f64(MIN_TXN_OPS))? as usize,
         })
     }
@@ -315,8 +315,8 @@
         Some(mb) => (positive_number("facts.quota.mem_mb", mb)?.min(1e6) * 1e6) as usize,
     };
     let sockets = SocketLimits::divide(facts.quota.max_sockets);
-    let others = file.others.iter().map(|other| (&other.label, &other.location));
-    let locations = others.chain([(&file.label, &file.location)]);
+    let other_locations = file.others.iter().map(|other| (&other.label, &other.location));
+    let locations = other_locations.chain([(&file.label, &file.location)]);
     let core_facts = Facts {
         label: file.label.clone(),
         peers: peers.keys().cloned().collect(),
@@ -362,24 +362,24 @@
     let mut policy = Policy::default();
     let seconds = |name: &str, value: Option<f64>, min: f64, max: f64, target: &mut Duration| match value {
         None => Ok(()),
-        Some(v) if (min..=max).contains(&v) => {
-            *target = Duration::from_secs_f64(v);
+        Some(value) if (min..=max).contains(&value) => {
+            *target = Duration::from_secs_f64(value);
             Ok(())
         }
         Some(_) => Err(format!("{name}: must be {min} to {max} seconds")),
     };
     let number = |name: &str, value: Option<f64>, min: f64, max: f64, target: &mut f64| match value {
         None => Ok(()),
-        Some(v) if (min..=max).contains(&v) => {
-            *target = v;
+        Some(value) if (min..=max).contains(&value) => {
+            *target = value;
             Ok(())
         }
         Some(_) => Err(format!("{name}: must be {min} to {max}")),
     };
     let integer = |name: &str, value: Option<usize>, min: usize, max: usize, target: &mut usize| match value {
         None => Ok(()),
-        Some(v) if (min..=max).contains(&v) => {
-            *target = v;
+        Some(value) if (min..=max).contains(&value) => {
+            *target = value;
             Ok(())
         }
         Some(_) => Err(format!("{name}: must be {min} to {max}")),
--- a/crates/rushyoke/tests/check.rs
+++ b/crates/rushyoke/tests/check.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::process::Command;
 
-/// Valid platform settings, to which a test may add `[facts.state.next]`.
+/// Valid platform settings, to which a test may append sections such as `[facts.state.next]`.
 const SETTINGS: &str = r#"
 label = "node-0"
 public_addr = "127.0.0.1:8080"
@@ -139,11 +139,13 @@
 #[test]
 fn failover_settings_are_valid_and_optional() {
     let deployed = include_str!("../../../deploy/failover.yaml");
-    let named = "failover:\n  enabled: true\n  tiers: [{ name: urgent, classes: [sheets] }]\n  \
+    let all_named = "failover:\n  enabled: true\n  tiers: [{ name: urgent, classes: [sheets] }]\n  \
                  careful_tiers: [urgent]\n  max_reruns: { settlement: 1 }\n  held_out: [south]\n";
-    for (name, policy) in
-        [("failover-deployed", deployed), ("failover-off", "failover:\n  enabled: false\n"), ("failover-named", named)]
-    {
+    for (name, policy) in [
+        ("failover-deployed", deployed),
+        ("failover-off", "failover:\n  enabled: false\n"),
+        ("failover-named", all_named),
+    ] {
         let (code, stderr) = run_with_policy(name, policy, &["check"]);
         assert_eq!(code, Some(0), "{name}: {stderr}");
     }
@@ -199,6 +201,6 @@
         assert_eq!((code, stderr.trim().lines().count()), (Some(2), 1), "{stderr}");
         assert!(stderr.contains(field), "{line}: {stderr}");
     }
-    let known = "failover:\n  enabled: true\n  tiers: [{ name: one, classes: [sheets] }]\n  held_out: [north]\n";
-    assert_eq!(check_files("failover-known", &platform_settings, known).0, Some(0));
+    let valid = "failover:\n  enabled: true\n  tiers: [{ name: one, classes: [sheets] }]\n  held_out: [north]\n";
+    assert_eq!(check_files("failover-known", &platform_settings, valid).0, Some(0));
 }
