--- a/crates/core/src/fleet/reports.rs
+++ b/crates/core/src/fleet/reports.rs
@@ -28,7 +28,7 @@
             .machines
             .get(&name)
             .is_some_and(|machine| machine.expired_session.is_some_and(|session| report.session <= session));
-        if lease_expired || self.renting.is_gone(&name) {
+        if lease_expired || self.renting.was_removed(&name) {
             // Its tasks are considered lost; a response would renew their lease.
             return Some(HttpResponse::later(503, "the lease of this session has ended"));
         }
@@ -170,8 +170,8 @@
             return false;
         }
         machine.tasks_digest = None;
-        if !machine.up || machine.type_name != report.kind {
-            machine.mark_up(now, report, env.machine_type(&report.kind));
+        if !machine.up || machine.type_name != report.machine_type {
+            machine.mark_up(now, report, env.machine_type(&report.machine_type));
             self.zones.insert(report.zone.clone());
             self.scheduling_due = true;
         }
--- a/crates/core/tests/upgrade.rs
+++ b/crates/core/tests/upgrade.rs
@@ -152,7 +152,7 @@
         assert_eq!(relay_request.reports[0].full.as_ref().map(|full| full.tasks.len()), Some(2));
         assert_eq!(encode(&relay_request), fixture.message("relay"));
         let relay_response: RelayResponse = decode(&fixture.message("relay_told")).expect("responses");
-        assert_eq!(relay_response.answers.len(), 3);
+        assert_eq!(relay_response.responses.len(), 3);
         assert_eq!(encode(&relay_response), fixture.message("relay_told"));
     }
 }
--- a/crates/testkit/examples/support/mod.rs
+++ b/crates/testkit/examples/support/mod.rs
@@ -22,7 +22,7 @@
 use rushyoke_testkit::{Cloud, Store, Worker};
 use rushyoke_wire::cloud::{MachineNames, MachineTypes, Rental};
 use rushyoke_wire::job::JobSpec;
-use rushyoke_wire::store::{Committed, Lease, NewLease, Refused, Txn};
+use rushyoke_wire::store::{Committed, FailedConditions, Lease, NewLease, Txn};
 use rushyoke_wire::worker::{Orders, ReportRedirect};
 use serde_json::json;
 use tokio::net::{TcpListener, TcpStream};
@@ -240,7 +240,7 @@
             StoreResponse::Item(None) => json_response(404, json!({"ledger": revision})),
             StoreResponse::Page(page) => json_response(200, page),
             StoreResponse::Committed(revision) => json_response(200, Committed { revision }),
-            StoreResponse::ConditionsFailed(failed) => json_response(409, Refused { failed }),
+            StoreResponse::ConditionsFailed(failed) => json_response(409, FailedConditions { failed }),
             StoreResponse::Lease(lease) => json_response(200, Lease { lease }),
             StoreResponse::LeaseOk => json_response(200, ()),
             _ => json_response(if path == "/txn" { 400 } else { 404 }, json!({"error": "no such lease"})),
--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -113,7 +113,7 @@
                 let mut machines = rows.map(|(name, machine)| ListedMachine {
                     id: name.clone(),
                     addr: name.clone(),
-                    kind: machine.kind.clone(),
+                    machine_type: machine.kind.clone(),
                     zone: machine.zone.clone(),
                     spot: machine.spot,
                     phase: if machine.booted { Phase::Running } else { Phase::Booting },
