--- a/crates/core/src/recover/load.rs
+++ b/crates/core/src/recover/load.rs
@@ -194,7 +194,7 @@
         let id = Name::from(id);
         match serde_json::from_value::<PageRecord>(item.value) {
             Ok(record) => self.loaded_pages.push((id, page, item.version, record)),
-            Err(error) => tracing::error!(key = item.key, %error, "malformed record"),
+            Err(error) => tracing::error!(key = item.key, %error, "a record cannot be read"),
         }
     }
 
@@ -205,7 +205,7 @@
         };
         match serde_json::from_value::<SegmentRecord>(item.value) {
             Ok(record) => self.loaded_segments.push((number, item.version, record)),
-            Err(error) => tracing::error!(key = item.key, %error, "malformed record"),
+            Err(error) => tracing::error!(key = item.key, %error, "a record cannot be read"),
         }
     }
 
@@ -216,7 +216,7 @@
         };
         match serde_json::from_value(item.value) {
             Ok(record) => self.loaded_moves.push((part, record)),
-            Err(error) => tracing::error!(key = item.key, %error, "malformed record"),
+            Err(error) => tracing::error!(key = item.key, %error, "a record cannot be read"),
         }
     }
 
@@ -309,7 +309,7 @@
         let record: LiveRecord = match serde_json::from_value(value) {
             Ok(record) => record,
             Err(error) => {
-                tracing::error!(key, %error, "malformed record");
+                tracing::error!(key, %error, "a record cannot be read");
                 return;
             }
         };
